--- a/src/main/java/deckfall/Brain.java
+++ b/src/main/java/deckfall/Brain.java
@@ -135,21 +135,26 @@
 
     // ---- events
 
-    @Override public void start(double now, Settings settings) {
+    @Override
+    public void start(double now, Settings settings) {
         set = settings;
         random = new Random(settings.seed());
         startedAt = now;
         epoch = (int) (long) now;
         peers = new Peer[Math.max(1, settings.gateways())];
         Arrays.setAll(peers, Peer::new);
-        double worth = settings.classes().stream().mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth())).sum();
+        double worth = settings.classes().stream()
+                .mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth()))
+                .sum();
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
             state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit = state.base = c.aimMs() * FIRST_GUESS / settings.sharing().maxUnits();
+            state.latencyPerUnit =
+                    state.base = c.aimMs() * FIRST_GUESS / settings.sharing().maxUnits();
             classes.put(c.name(), state);
         }
-        for (int i = 0; i < settings.plans().size(); i++) planNumbers.put(settings.plans().get(i).name(), i);
+        for (int i = 0; i < settings.plans().size(); i++)
+            planNumbers.put(settings.plans().get(i).name(), i);
         budget = new CallBudget(now, settings.sharing().counterTimeoutMs(), peers.length);
         estimates = new AdmissionEstimate[settings.plans().size()];
         Arrays.setAll(estimates, i -> new AdmissionEstimate());
@@ -158,7 +163,8 @@
         act.timer(TICK_MS, "beat");
     }
 
-    @Override public void hosts(double now, ListKind kind, List<Host> hosts) {
+    @Override
+    public void hosts(double now, ListKind kind, List<Host> hosts) {
         if (kind == ListKind.FAILED) act.timer(RELAX_MS, "watch");
         if (kind == ListKind.FAILED) return;
         if (kind != ListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
@@ -167,7 +173,8 @@
         release(now);
     }
 
-    @Override public void request(double now, Request r) {
+    @Override
+    public void request(double now, Request r) {
         ClassState cls = classes.get(r.requestClass());
         if (cls == null) act.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
         if (cls == null) return;
@@ -199,12 +206,14 @@
         if (held && now + cls.queue.size() * cls.releaseGap >= giveUpAt(ask)) finish(now, ask);
     }
 
-    @Override public void streamStarted(double now, String id, int attempt) {
+    @Override
+    public void streamStarted(double now, String id, int attempt) {
         Ask ask = asks.get(id);
         if (ask != null) ask.streaming = true;
     }
 
-    @Override public void attemptEnded(double now, AttemptResult r) {
+    @Override
+    public void attemptEnded(double now, AttemptResult r) {
         Ask ask = asks.get(r.id());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
@@ -223,7 +232,8 @@
         release(now);
     }
 
-    @Override public void clientLeft(double now, String id) {
+    @Override
+    public void clientLeft(double now, String id) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         close(now, ask);
@@ -232,7 +242,8 @@
         }
     }
 
-    @Override public void timer(double now, String token) {
+    @Override
+    public void timer(double now, String token) {
         if (token.equals("watch")) act.watchHosts();
         if (!token.equals("beat")) return;
         act.timer(TICK_MS, "beat");
@@ -250,7 +261,12 @@
 
     // ---- admission by parts
 
-    private enum Verdict { IN, OUT, ASK, COUNT }
+    private enum Verdict {
+        IN,
+        OUT,
+        ASK,
+        COUNT
+    }
 
     private Customer customer(double now, long id, int plan, int first, int spread) {
         Customer c = customers.get(id);
@@ -374,7 +390,8 @@
         if (limited && wide(c)) return judgeWide(now, ask);
         boolean asks = set.limits().peers() && c.spread > 1;
         int keeper = keeper(now, c, 0);
-        boolean room = !limited || keeper == set.me() && asks
+        boolean room = !limited
+                || keeper == set.me() && asks
                 || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
                 || spares(c, units)
                 || (asks || counts(c)) && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
@@ -387,7 +404,8 @@
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
     private boolean partless(Customer c) {
-        return !set.limits().peers() && c.plan.burst() / c.spread < set.sharing().maxUnits();
+        return !set.limits().peers()
+                && c.plan.burst() / c.spread < set.sharing().maxUnits();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
@@ -396,7 +414,8 @@
     }
 
     private boolean costly(Plan p) {
-        double mean = set.plans().stream().mapToDouble(Plan::excessLoss).average().orElse(0);
+        double mean =
+                set.plans().stream().mapToDouble(Plan::excessLoss).average().orElse(0);
         return p.excessLoss() >= mean;
     }
 
@@ -469,10 +488,10 @@
 
     private boolean openAdmits(double now, Customer c) {
         int limit = c.plan.openLimit();
-        boolean fresh = c.spread == 1 || set.limits().peers()
-                && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
-        return limit <= 0 || (fresh ? c.open + c.othersOpen < limit
-                : c.open < Math.max(1, (int) (limit * part(now, c))));
+        boolean fresh =
+                c.spread == 1 || set.limits().peers() && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
+        return limit <= 0
+                || (fresh ? c.open + c.othersOpen < limit : c.open < Math.max(1, (int) (limit * part(now, c))));
     }
 
     /** When the store will have filled enough; every refusal tells a time to come back. */
@@ -523,7 +542,8 @@
 
     // ---- processes of one gateway
 
-    @Override public void besides(double now, int count) {
+    @Override
+    public void besides(double now, int count) {
         double kept = Math.min(1, (double) processes / count); // what is stored goes to new ones evenly
         customers.values().forEach(c -> touch(now, c));
         processes = count;
@@ -533,12 +553,14 @@
         }
     }
 
-    @Override public List<Remembered> remember(double now) {
+    @Override
+    public List<Remembered> remember(double now) {
         customers.values().forEach(c -> touch(now, c));
         return customers.values().stream().map(Customer::remembered).toList();
     }
 
-    @Override public void recall(double now, List<Remembered> memory) {
+    @Override
+    public void recall(double now, List<Remembered> memory) {
         for (Remembered r : memory) {
             boolean known = customers.containsKey(r.customer());
             if (known || r.plan() < 0 || r.plan() >= set.plans().size()) continue;
@@ -551,7 +573,10 @@
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
     private boolean counts(Customer c) {
-        return set.sharing().counter() && !set.limits().peers() && c.spread > 1 && c.plan.rate() > 0
+        return set.sharing().counter()
+                && !set.limits().peers()
+                && c.spread > 1
+                && c.plan.rate() > 0
                 && !c.plan.excessPays();
     }
 
@@ -575,7 +600,8 @@
         act.count(c.counter(wide(c)), c.calling, COUNT_LIFE_MS);
     }
 
-    @Override public void counted(double now, String counter, Outcome outcome, double total) {
+    @Override
+    public void counted(double now, String counter, Outcome outcome, double total) {
         Customer c = customers.get(Customer.ofCounter(counter));
         if (c == null || !c.called) return;
         touch(now, c);
@@ -764,31 +790,59 @@
     private Tell.Entry tellOf(double now, Customer c, Peer keeper) {
         for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
         double want = c.pendingUnits();
-        boolean asked = keeper(now, c, 0) == keeper.number || now < keeper.silentTill
+        boolean asked = keeper(now, c, 0) == keeper.number
+                || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
         boolean view = keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS;
-        return new Tell.Entry(false, asked, c.plan.ceilingRate() > 0 && c.ceiling < want, false, view, c.id,
-                c.planNumber, c.first, c.spread, c.used, want, c.demand, c.fullness(), c.open, 0);
+        return new Tell.Entry(
+                false,
+                asked,
+                c.plan.ceilingRate() > 0 && c.ceiling < want,
+                false,
+                view,
+                c.id,
+                c.planNumber,
+                c.first,
+                c.spread,
+                c.used,
+                want,
+                c.demand,
+                c.fullness(),
+                c.open,
+                0);
     }
 
     private Tell.Entry answer(double now, Customer c, Peer to) {
         Member m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
         double others = Math.max(0, c.demand + c.others - theirs);
-        return new Tell.Entry(true, false, c.plan.ceilingRate() > 0, unsure(now, c), false, c.id,
-                c.planNumber, c.first, c.spread, m.booked, m.granted, others, c.fullness(),
-                c.open + c.othersOpen - m.open, m.given);
-    }
-
-    @Override public void peerSaid(double now, int from, byte[] data) {
+        return new Tell.Entry(
+                true,
+                false,
+                c.plan.ceilingRate() > 0,
+                unsure(now, c),
+                false,
+                c.id,
+                c.planNumber,
+                c.first,
+                c.spread,
+                m.booked,
+                m.granted,
+                others,
+                c.fullness(),
+                c.open + c.othersOpen - m.open,
+                m.given);
+    }
+
+    @Override
+    public void peerSaid(double now, int from, byte[] data) {
         Tell tell = from < 0 || from >= peers.length || from == set.me() ? null : Tell.read(data);
         if (tell == null) return; // unknown sender, or damaged
         Peer peer = peers[from];
         boolean sameLife = peer.met && tell.epoch() == peer.epoch;
         // Overtaken on the way, told twice, or from before the sender's restart.
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late = sameLife ? !Tell.after(tell.serial(), peer.heardSerial)
-                : tell.epoch() - peer.epoch < 0;
+        boolean late = sameLife ? !Tell.after(tell.serial(), peer.heardSerial) : tell.epoch() - peer.epoch < 0;
         if (peer.met && late) return;
         peer.met = true;
         peer.epoch = tell.epoch();
@@ -825,8 +879,8 @@
         m.known = true;
         c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
         boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
-        boolean grants = e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want())
-                && (!gives || c.ceiling >= e.want());
+        boolean grants =
+                e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want()) && (!gives || c.ceiling >= e.want());
         m.granted = grants ? e.want() : 0;
         m.booked = e.used() + m.granted;
         c.level -= m.granted;
@@ -852,7 +906,8 @@
             m.taken = e.given();
         }
         List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !Tell.after(a.askSerial, mySerial)).toList();
+                .filter(a -> a.keeper == peer.number && !Tell.after(a.askSerial, mySerial))
+                .toList();
         if (!e.unsure()) {
             c.others = e.demand();
             c.othersOpen = e.open();
@@ -953,7 +1008,8 @@
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
     private void finish(double now, Ask ask) {
         RequestClass spec = ask.cls.spec;
-        boolean harmless = ask.ran() == null || spec.effect() == Effect.REPEATABLE
+        boolean harmless = ask.ran() == null
+                || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.scope() == Gateway.Scope.ALL;
         close(now, ask);
         // A place may be had once what is held now has left.
@@ -1049,8 +1105,11 @@
         return s.health.slowness(now) * s.of(c).slowness(now);
     }
 
-    @Override public int avoided(double now) {
-        return (int) servers.values().stream().filter(s -> s.listed && avoids(now, s)).count();
+    @Override
+    public int avoided(double now) {
+        return (int) servers.values().stream()
+                .filter(s -> s.listed && avoids(now, s))
+                .count();
     }
 
     /** A host that drains, or that is taken to be in trouble for every class. */
@@ -1131,24 +1190,31 @@
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
     private boolean legal(double now, Ask ask, Attempt ran, Server s) {
-        return repeatable(now, ask, ran) && (ran == null || ask.cls.spec.effect() != Effect.KEYED
-                || ask.cls.spec.scope().together(s.info, ran.server.info));
+        return repeatable(now, ask, ran)
+                && (ran == null
+                        || ask.cls.spec.effect() != Effect.KEYED
+                        || ask.cls.spec.scope().together(s.info, ran.server.info));
     }
 
     private boolean repeatable(double now, Ask ask, Attempt ran) {
         RequestClass spec = ask.cls.spec;
-        return ran == null || spec.effect() == Effect.REPEATABLE
+        return ran == null
+                || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && now < ran.sentAt + windowMs(spec);
     }
 
     /** A further attempt may first wait for a connection as long as one may take to come up. */
     private double windowMs(RequestClass spec) {
-        return Math.min(WINDOW_SHARE * spec.windowMs(), spec.windowMs() - set.limits().connectTimeoutMs());
+        return Math.min(
+                WINDOW_SHARE * spec.windowMs(), spec.windowMs() - set.limits().connectTimeoutMs());
     }
 
     private boolean mayTryAgain(double now, Ask ask) {
-        boolean may = repeatable(now, ask, ask.ran()) && !ask.streaming && now < giveUpAt(ask)
-                && retryTokens >= 1 && ask.attempts.size() < set.limits().maxAttempts();
+        boolean may = repeatable(now, ask, ask.ran())
+                && !ask.streaming
+                && now < giveUpAt(ask)
+                && retryTokens >= 1
+                && ask.attempts.size() < set.limits().maxAttempts();
         retryTokens -= may ? 1 : 0;
         return may;
     }
@@ -1173,7 +1239,7 @@
             case CONNECT_FAILED -> s.health.judge(now, Health.SLOW_MAX, 1);
             case FULL -> s.health.judge(now, BAD_ANSWER, FAILED_GAIN);
             case ERROR, RESET, TIMEOUT -> s.of(c).judge(now, Health.SLOW_MAX, FAILED_GAIN);
-            default -> { }
+            default -> {}
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
             latencySum += r.latencyMs(); // a time-out is an answer at least that late
@@ -1192,7 +1258,8 @@
                 a.overdue = true;
                 s.of(a.ask.cls).judge(now, Health.SLOW_MAX, FAILED_GAIN);
                 boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
-                boolean safe = a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
+                boolean safe =
+                        a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
                 if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
             }
         }
