--- a/src/main/java/deckfall/Brain.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1,8 +1,8 @@
 package deckfall;
 
 import deckfall.AdmissionEstimate.CounterVerdict;
+import deckfall.DecisionState.*;
 import deckfall.Gateway.*;
-import deckfall.State.*;
 import java.util.*;
 import java.util.stream.IntStream;
 
@@ -10,7 +10,7 @@
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
  * Its interface (events, actions, settings) is Gateway.java, beside this file.
  */
-public final class Brain implements Gateway.Events {
+public final class DecisionModule implements Gateway.Events {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
@@ -119,7 +119,7 @@
     private AdmissionEstimate[] estimates;
     private final ExcessEstimate excess = new ExcessEstimate();
     private double margin = MARGIN_START;
-    private double counterToldAt = State.NEVER;
+    private double counterToldAt = DecisionState.NEVER;
     private double meanWorth;
     private double mail, donateGap = WEIGHT_GAP_MS;
     private boolean waited;
@@ -129,7 +129,7 @@
     private double retryTokens = RETRY_MAX / 2;
     private double latencySum, baseSum, aimShareSum;
 
-    public Brain(Actions act) {
+    public DecisionModule(Actions act) {
         this.act = act;
     }
 
@@ -273,7 +273,7 @@
         if (c == null || c.planNumber != plan) {
             Plan p = set.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
-            int[] keepers = State.ranked(id, first, wide, peers.length, KEEPERS);
+            int[] keepers = DecisionState.ranked(id, first, wide, peers.length, KEEPERS);
             c = new Customer(id, plan, p, first, wide, keepers, now);
             c.level = p.burst();
             c.spare = spareHold(c, 1.0 / wide);
@@ -663,7 +663,7 @@
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
     private void learnTotal(double now, Customer c, double total) {
-        boolean anew = c.totalAt == State.NEVER || total < c.total / 2;
+        boolean anew = c.totalAt == DecisionState.NEVER || total < c.total / 2;
         double others = total - c.calling - (anew ? 0 : c.total);
         c.learn(now, total, c.level - others);
     }
@@ -847,7 +847,7 @@
         peer.met = true;
         peer.epoch = tell.epoch();
         peer.heardSerial = tell.serial();
-        peer.silentTill = State.NEVER;
+        peer.silentTill = DecisionState.NEVER;
         boolean toThisLife = tell.yourEpoch() == epoch;
         for (Tell.Entry e : tell.entries()) {
             if (e.plan() >= set.plans().size()) continue;
@@ -963,10 +963,10 @@
             turn = Math.max(turn, c.turn);
             c.turn += ask.work() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
-            if (goesOn && c.releasedAt > State.NEVER) {
+            if (goesOn && c.releasedAt > DecisionState.NEVER) {
                 c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
             }
-            c.releasedAt = goesOn ? now : State.NEVER;
+            c.releasedAt = goesOn ? now : DecisionState.NEVER;
             send(now, ask, s);
             return true;
         }
--- a/src/main/java/deckfall/State.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -15,10 +15,10 @@
 import java.util.stream.IntStream;
 
 /** What one gateway remembers: plain fields and look-ups, no decision; Brain alone reads meaning into them. */
-final class State {
+final class DecisionState {
     static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private State() {}
+    private DecisionState() {}
 
     /** The gateways of a set that stand first by the hash of a thing: each gateway finds the same by itself. */
     static int[] ranked(long thing, int first, int spread, int gateways, int count) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -1,6 +1,6 @@
 package deckfall.net;
 
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Events;
@@ -92,7 +92,7 @@
     private long repeats;
 
     Node(NodeConfig config) {
-        this(config, Brain::new);
+        this(config, DecisionModule::new);
     }
 
     /** With a module of the caller's making. */
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -1,6 +1,6 @@
 package deckfall.scale;
 
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Events;
@@ -35,7 +35,7 @@
 
     private final Fleet fleet;
     private final Settings settings;
-    private final Events module = new Brain(this);
+    private final Events module = new DecisionModule(this);
     private final Map<String, Try> open = new LinkedHashMap<>();
     private final List<Runnable> actions = new ArrayList<>();
     private final List<Count> counts = new ArrayList<>();
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -1,6 +1,6 @@
 package deckfall.wire;
 
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Host;
 import deckfall.Gateway.HostState;
@@ -19,7 +19,7 @@
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Long, Brain> brains = new TreeMap<>();
+    private final Map<Long, DecisionModule> brains = new TreeMap<>();
     private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
     private final long[] lastAt = {Long.MIN_VALUE};
     private final StringBuilder reply = new StringBuilder();
@@ -98,7 +98,7 @@
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
-            Brain brain = new Brain(new ReplyWriter(reply, target, lastAt));
+            DecisionModule brain = new DecisionModule(new ReplyWriter(reply, target, lastAt));
             brains.put(target, brain);
             brain.start(now, SettingsReader.read(f));
             return;
@@ -107,7 +107,7 @@
             brains.remove(target);
             return;
         }
-        Brain brain = brains.get(target);
+        DecisionModule brain = brains.get(target);
         if (brain == null) {
             throw new WireFault("'" + name + "' for an instance that was not started: " + target);
         }
@@ -115,7 +115,7 @@
     }
 
     /** An event of an instance that was started. */
-    private void tell(double now, Brain brain, String name, Fields f) {
+    private void tell(double now, DecisionModule brain, String name, Fields f) {
         switch (name) {
             case "MEMBERSHIP" -> membership(now, brain, f);
             case "DEMAND" ->
@@ -160,7 +160,7 @@
         }
     }
 
-    private void membership(double now, Brain brain, Fields f) {
+    private void membership(double now, DecisionModule brain, Fields f) {
         String how = f.text("how");
         ListKind kind = switch (how) {
             case "D" -> ListKind.CHANGES;
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import deckfall.DecisionState.ClassState;
 import deckfall.Gateway.Host;
 import deckfall.Gateway.HostState;
 import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.RequestClass;
-import deckfall.State.ClassState;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -40,7 +40,7 @@
         ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
         ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
         ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(Brain.donate(List.of(slow, easy, idle)));
+        assertTrue(DecisionModule.donate(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
         assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
@@ -50,8 +50,8 @@
     void donationIsClampedToWhatKeepsTheDonorContent() {
         ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
         ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        Brain.donate(List.of(slow, donor));
-        double clamp = (0.9 * Brain.goal(donor) - 500) / 1000;
+        DecisionModule.donate(List.of(slow, donor));
+        double clamp = (0.9 * DecisionModule.goal(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
     }
 
@@ -59,11 +59,11 @@
     void weightsStayPositiveAndFreezeWhenAllSuffer() {
         ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
         ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        Brain.donate(List.of(a, b));
+        DecisionModule.donate(List.of(a, b));
         assertTrue(a.weight > 0);
         ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
         ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(Brain.donate(List.of(c, d)));
+        assertFalse(DecisionModule.donate(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
@@ -72,11 +72,11 @@
         ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
         c.markWeight = 0.4;
         c.markDelay = 700; // more weight, more delay: the wrong sign
-        c.measureSlope(Brain.goal(c) * 0.1);
+        c.measureSlope(DecisionModule.goal(c) * 0.1);
         assertEquals(1234, c.slope);
         c.weight = 0.6;
         c.delay = 500;
-        c.measureSlope(Brain.goal(c) * 0.1);
+        c.measureSlope(DecisionModule.goal(c) * 0.1);
         assertEquals(3000, c.slope, 1e-6);
     }
 
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -49,7 +49,7 @@
     final List<Told> told = new ArrayList<>();
     final List<Counted> counted = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    final Brain brain = new Brain(this);
+    final DecisionModule brain = new DecisionModule(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
     private int order;
--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Events;
@@ -109,7 +109,7 @@
 
     /** The module itself, with what it was told of noted once it has acted on it. */
     private Events noted(Actions act) {
-        Brain brain = new Brain(act);
+        DecisionModule brain = new DecisionModule(act);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
                     Object answer = method.invoke(brain, args);
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.Settings;
 import deckfall.net.Sockets.Client;
 import deckfall.net.Sockets.Message;
@@ -184,7 +184,7 @@
         clock.stands = true;
         Node node = new Node(
                 NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
-                Brain::new,
+                DecisionModule::new,
                 clock);
         ends.push(node::stop);
         node.start();
--- a/src/test/java/deckfall/net/Sockets.java
+++ b/src/test/java/deckfall/net/Sockets.java
@@ -1,7 +1,7 @@
 package deckfall.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
+import deckfall.DecisionModule;
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.Events;
 import java.io.ByteArrayOutputStream;
@@ -271,7 +271,7 @@
     }
 
     static Node node(String config) throws IOException {
-        return node(config, Brain::new);
+        return node(config, DecisionModule::new);
     }
 
     static Node node(String config, Function<Actions, Events> module) throws IOException {
