--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void hosts(double now, ListKind kind, List<Host> hosts) {
+    public void hostsUpdated(double now, ListKind kind, List<Host> hosts) {
         if (kind == ListKind.FAILED) act.timer(RELAX_MS, "watch");
         if (kind == ListKind.FAILED) return;
         if (kind != ListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void request(double now, Request r) {
+    public void requestReceived(double now, Request r) {
         ClassState cls = classes.get(r.requestClass());
         if (cls == null) act.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
         if (cls == null) return;
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void clientLeft(double now, String id) {
+    public void clientDisconnected(double now, String id) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         close(now, ask);
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void timer(double now, String token) {
+    public void timerFired(double now, String token) {
         if (token.equals("watch")) act.watchHosts();
         if (!token.equals("beat")) return;
         act.timer(TICK_MS, "beat");
@@ -543,7 +543,7 @@
     // ---- processes of one gateway
 
     @Override
-    public void besides(double now, int count) {
+    public void processCountChanged(double now, int count) {
         double kept = Math.min(1, (double) processes / count); // what is stored goes to new ones evenly
         customers.values().forEach(c -> touch(now, c));
         processes = count;
@@ -554,13 +554,13 @@
     }
 
     @Override
-    public List<Remembered> remember(double now) {
+    public List<Remembered> snapshotCustomers(double now) {
         customers.values().forEach(c -> touch(now, c));
         return customers.values().stream().map(Customer::remembered).toList();
     }
 
     @Override
-    public void recall(double now, List<Remembered> memory) {
+    public void restoreCustomers(double now, List<Remembered> memory) {
         for (Remembered r : memory) {
             boolean known = customers.containsKey(r.customer());
             if (known || r.plan() < 0 || r.plan() >= set.plans().size()) continue;
@@ -601,7 +601,7 @@
     }
 
     @Override
-    public void counted(double now, String counter, Outcome outcome, double total) {
+    public void counterCallEnded(double now, String counter, Outcome outcome, double total) {
         Customer c = customers.get(Customer.ofCounter(counter));
         if (c == null || !c.called) return;
         touch(now, c);
@@ -835,7 +835,7 @@
     }
 
     @Override
-    public void peerSaid(double now, int from, byte[] data) {
+    public void peerMessageReceived(double now, int from, byte[] data) {
         Tell tell = from < 0 || from >= peers.length || from == set.me() ? null : Tell.read(data);
         if (tell == null) return; // unknown sender, or damaged
         Peer peer = peers[from];
@@ -1106,7 +1106,7 @@
     }
 
     @Override
-    public int avoided(double now) {
+    public int avoidedHostCount(double now) {
         return (int) servers.values().stream()
                 .filter(s -> s.listed && avoids(now, s))
                 .count();
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -227,35 +227,35 @@
     public interface Events {
         void start(double now, Settings settings);
 
-        void hosts(double now, ListKind kind, List<Host> hosts);
+        void hostsUpdated(double now, ListKind kind, List<Host> hosts);
 
-        void request(double now, Request request);
+        void requestReceived(double now, Request request);
 
         void streamStarted(double now, String id, int attempt);
 
         void attemptEnded(double now, AttemptResult result);
 
-        void clientLeft(double now, String id);
+        void clientDisconnected(double now, String id);
 
-        void timer(double now, String token);
+        void timerFired(double now, String token);
 
-        default void probed(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
+        default void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
-        void peerSaid(double now, int peer, byte[] data);
+        void peerMessageReceived(double now, int peer, byte[] data);
 
-        void counted(double now, String counter, Outcome outcome, double total);
+        void counterCallEnded(double now, String counter, Outcome outcome, double total);
 
         /** So many processes serve as this gateway, this one among them: they share what is its own. */
-        void besides(double now, int processes);
+        void processCountChanged(double now, int processes);
 
         /** What this process knows of its customers: a question, not an event. */
-        List<Remembered> remember(double now);
+        List<Remembered> snapshotCustomers(double now);
 
         /** What another process of this gateway knew; it stands for customers that this one has not seen. */
-        void recall(double now, List<Remembered> memory);
+        void restoreCustomers(double now, List<Remembered> memory);
 
         /** How many hosts of the list get no request as long as others may be had: a question, not an event. */
-        int avoided(double now);
+        int avoidedHostCount(double now);
     }
 
     /** Everything that a gateway can do. */
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -216,7 +216,7 @@
         try {
             loop.submit(() -> {
                         tell((now, m) -> m.start(now, config.settings()));
-                        tell((now, m) -> m.recall(now, recalled));
+                        tell((now, m) -> m.restoreCustomers(now, recalled));
                         peers.start();
                         if (config.known().hasNonNull(Discovery.LIST)) {
                             hostsTold(ListKind.CACHED, Discovery.entries(config.known()));
@@ -342,7 +342,7 @@
 
             @Override
             public List<Remembered> memory() throws InterruptedException, ExecutionException, TimeoutException {
-                return loop.submit(() -> module.remember(clock.now()))
+                return loop.submit(() -> module.snapshotCustomers(clock.now()))
                         .get(SiblingWatch.MEMORY_MS, TimeUnit.MILLISECONDS);
             }
 
@@ -369,7 +369,7 @@
         if (count != processes && serving) {
             log("processes serving as this gateway: " + count);
             processes = count;
-            tell((now, m) -> m.besides(now, count));
+            tell((now, m) -> m.processCountChanged(now, count));
         }
     }
 
@@ -406,7 +406,7 @@
     }
 
     private void countHosts() {
-        figures.targets(hosts.listed(), module.avoided(clock.now()));
+        figures.targets(hosts.listed(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -482,7 +482,7 @@
         tally.add(Tally.Count.TAKEN);
         client.holds(entry);
         guard(entry);
-        tell((now, m) -> m.request(now, told));
+        tell((now, m) -> m.requestReceived(now, told));
     }
 
     private static Request due(Request r, String id, double laterMs) {
@@ -564,7 +564,7 @@
         close(r);
         tally.add(Tally.Count.CLIENT_LEFT);
         withdrawUnsent(r);
-        tell((now, m) -> m.clientLeft(now, r.request.id()));
+        tell((now, m) -> m.clientDisconnected(now, r.request.id()));
         forgetIfOver(r);
     }
 
@@ -647,21 +647,21 @@
         Runnable turnBack = hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
-        tell((now, m) -> m.hosts(now, kind, list));
+        tell((now, m) -> m.hostsUpdated(now, kind, list));
         turnBack.run();
     }
 
     void probed(String host, Outcome outcome, double took, double[] report) {
-        tell((now, m) -> m.probed(now, host, outcome, took, report));
+        tell((now, m) -> m.probeEnded(now, host, outcome, took, report));
     }
 
     void counted(String name, Outcome outcome, double total) {
         tally.call(outcome);
-        tell((now, m) -> m.counted(now, name, outcome, total));
+        tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
     void peerSaid(int peer, byte[] data) {
-        tell((now, m) -> m.peerSaid(now, peer, data));
+        tell((now, m) -> m.peerMessageReceived(now, peer, data));
     }
 
     // ---- what the module does
@@ -748,7 +748,7 @@
 
     @Override
     public void timer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timer(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -89,19 +89,19 @@
 
     /** Serves beside a process of the same gateway from now on, whose memory it takes over. */
     void follow(HollowGateway other) {
-        tell(Event.OTHER, null, () -> module.recall(now(), other.module.remember(now())));
+        tell(Event.OTHER, null, () -> module.restoreCustomers(now(), other.module.snapshotCustomers(now())));
         besides(2);
         other.besides(2);
     }
 
     void besides(int processes) {
-        tell(Event.OTHER, null, () -> module.besides(now(), processes));
+        tell(Event.OTHER, null, () -> module.processCountChanged(now(), processes));
     }
 
     // ---- events
 
     void hosts(ListKind kind, List<Host> hosts) {
-        tell(Event.OTHER, null, () -> module.hosts(now(), kind, hosts));
+        tell(Event.OTHER, null, () -> module.hostsUpdated(now(), kind, hosts));
     }
 
     @Override
@@ -120,7 +120,7 @@
                 customers.first(t.customer),
                 customers.spread());
         fleet.queue.at(t.deadlineMs, () -> deadline(t));
-        tell(Event.REQUEST, t, () -> module.request(now(), r));
+        tell(Event.REQUEST, t, () -> module.requestReceived(now(), r));
     }
 
     private void deadline(Try t) {
@@ -241,7 +241,7 @@
 
     @Override
     public void timer(double delayMs, String token) {
-        fleet.queue.after(delayMs, () -> tell(Event.OTHER, null, () -> module.timer(now(), token)));
+        fleet.queue.after(delayMs, () -> tell(Event.OTHER, null, () -> module.timerFired(now(), token)));
     }
 
     @Override
@@ -275,7 +275,7 @@
 
     private void counted(String name, Outcome outcome, double total) {
         fleet.figures.callEnded(outcome, now());
-        tell(Event.COUNTED, null, () -> module.counted(now(), name, outcome, total));
+        tell(Event.COUNTED, null, () -> module.counterCallEnded(now(), name, outcome, total));
     }
 
     @Override
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -119,7 +119,7 @@
         switch (name) {
             case "MEMBERSHIP" -> membership(now, brain, f);
             case "DEMAND" ->
-                brain.request(
+                brain.requestReceived(
                         now,
                         new Request(
                                 f.text("op_id"),
@@ -145,17 +145,18 @@
                                 f.count("use_pct", 0),
                                 f.number("cost", 0),
                                 f.row("health_info")));
-            case "VANISHED" -> brain.clientLeft(now, f.text("op_id"));
-            case "DUE" -> brain.timer(now, f.text("cookie"));
+            case "VANISHED" -> brain.clientDisconnected(now, f.text("op_id"));
+            case "DUE" -> brain.timerFired(now, f.text("cookie"));
             case "PROBE_RESULT" ->
-                brain.probed(
+                brain.probeEnded(
                         now,
                         f.text("host"),
                         outcome(f.text("reason")),
                         f.number("cost_time_ms", 0),
                         f.row("health_info"));
-            case "FROM_PEER" -> brain.peerSaid(now, f.count("neighbour"), f.bytes("contents"));
-            case "COUNTED" -> brain.counted(now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
+            case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
+            case "COUNTED" ->
+                brain.counterCallEnded(now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
             default -> throw new WireFault("unknown message '" + name + "'");
         }
     }
@@ -177,7 +178,7 @@
                 throw new WireFault("no CATALOG with page " + page);
             }
         }
-        brain.hosts(now, kind, hosts);
+        brain.hostsUpdated(now, kind, hosts);
     }
 
     private void catalog(Fields f) throws IOException {
--- a/src/test/java/deckfall/ColdFleet.java
+++ b/src/test/java/deckfall/ColdFleet.java
@@ -213,7 +213,7 @@
                         s.limits(),
                         rules,
                         s.sharing()));
-        g.brain.hosts(
+        g.brain.hostsUpdated(
                 now,
                 ListKind.FULL,
                 servers.values().stream()
@@ -222,9 +222,9 @@
                         .toList());
         running.add(g);
         List<FakeGateway> all = processes.get(number);
-        if (!all.isEmpty()) g.brain.recall(now, all.get(0).brain.remember(now));
+        if (!all.isEmpty()) g.brain.restoreCustomers(now, all.get(0).brain.snapshotCustomers(now));
         all.add(g);
-        all.forEach(p -> p.brain.besides(now, all.size()));
+        all.forEach(p -> p.brain.processCountChanged(now, all.size()));
     }
 
     /** A new process in place of an old one, at once or after some time beside it. */
@@ -240,7 +240,7 @@
         List<FakeGateway> all = processes.get(number);
         running.remove(old);
         all.remove(old);
-        all.forEach(p -> p.brain.besides(now, all.size()));
+        all.forEach(p -> p.brain.processCountChanged(now, all.size()));
     }
 
     private void restartNext(int number) {
@@ -251,7 +251,7 @@
     private void tell(List<SeatServer> changed) {
         for (FakeGateway g : List.copyOf(running)) {
             act(g);
-            g.brain.hosts(
+            g.brain.hostsUpdated(
                     now,
                     ListKind.CHANGES,
                     changed.stream().map(SeatServer::listed).toList());
@@ -267,7 +267,7 @@
         FakeGateway g = all.get(random.nextInt(all.size()));
         act(g);
         String cls = List.of("read", "read", "pay", "order").get(random.nextInt(4));
-        g.brain.request(now, new Request("r" + asked++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
+        g.brain.requestReceived(now, new Request("r" + asked++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
         act(g);
     }
 
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -75,14 +75,14 @@
     @Test
     void aStoreWithRoomLetsInWhatWaitsForTheCounter() {
         FakeGateway.Counted call = askUntilCounted();
-        g.brain.counted(g.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
+        g.brain.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
         assertEquals(1, g.sends("q" + (serial - 1)));
     }
 
     @Test
     void aStoreThatOthersEmptiedRefusesAndGivesTheWantedUnitsBack() {
         FakeGateway.Counted call = askUntilCounted();
-        g.brain.counted(g.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
+        g.brain.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
         assertEquals(List.of("q" + (serial - 1)), g.refused);
         assertEquals(List.of(Refusal.QUOTA), g.refusals);
         ask();
@@ -95,12 +95,12 @@
     @Test
     void withoutAnAnswerTheOwnPartDecidesAndTheCounterGetsEverFewerCalls() {
         FakeGateway.Counted call = askUntilCounted();
-        g.brain.counted(g.now, call.counter(), Outcome.TIMEOUT, 0);
+        g.brain.counterCallEnded(g.now, call.counter(), Outcome.TIMEOUT, 0);
         assertEquals(List.of("q" + (serial - 1)), g.refused);
         assertEquals(List.of(Refusal.PART), g.refusals);
         g.counted.clear();
         ask();
-        g.counted.forEach(c -> g.brain.counted(g.now, c.counter(), Outcome.TIMEOUT, 0));
+        g.counted.forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
         assertEquals(2, g.refused.size());
         g.counted.clear();
         int[] calls = new int[2];
@@ -108,7 +108,7 @@
             ask();
             g.pass(50);
             calls[i / 200] += g.counted.size();
-            List.copyOf(g.counted).forEach(c -> g.brain.counted(g.now, c.counter(), Outcome.TIMEOUT, 0));
+            List.copyOf(g.counted).forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
             g.counted.clear();
             assertEquals(serial, g.sent.size() + g.refused.size()); // nothing is held for it
         }
@@ -133,7 +133,7 @@
         for (int i = 0; i < seconds * 10; i++) {
             g.pass(100);
             calls += g.counted.size();
-            List.copyOf(g.counted).forEach(c -> g.brain.counted(g.now, c.counter(), Outcome.FULL, 0));
+            List.copyOf(g.counted).forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.FULL, 0));
             g.counted.clear();
         }
         return calls;
@@ -164,7 +164,7 @@
             ask();
         }
         FakeGateway second = gateway(false);
-        second.brain.recall(second.now, g.brain.remember(g.now));
+        second.brain.restoreCustomers(second.now, g.brain.snapshotCustomers(g.now));
         second.ask("r", "read", "slow", 42, 1, GATEWAYS);
         assertEquals(List.of("r"), second.refused);
         second.ask("s", "read", "slow", 43, 1, GATEWAYS);
@@ -185,8 +185,8 @@
         }
         int first = g.sent.size();
         g.sent.forEach(s -> g.end(s.id(), 0, Outcome.OK, 1));
-        g.brain.besides(g.now, 3);
-        g.brain.besides(g.now, processes);
+        g.brain.processCountChanged(g.now, 3);
+        g.brain.processCountChanged(g.now, processes);
         for (int i = 0; i < 400; i++) {
             g.pass(200);
             String id = ask();
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -168,7 +168,7 @@
         int total = 0;
         for (int me = 0; me < 300; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hosts(g.now, ListKind.FULL, hosts);
+            g.brain.hostsUpdated(g.now, ListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
                 g.ask("r" + i, "read");
             }
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -92,12 +92,12 @@
         for (String id : ids) {
             hosts.add(host(id, id.substring(0, 1)));
         }
-        brain.hosts(now, ListKind.FULL, hosts);
+        brain.hostsUpdated(now, ListKind.FULL, hosts);
         return this;
     }
 
     void ask(String id, String cls, String plan, long customer, double units, int spread) {
-        brain.request(now, new Request(id, now + 3000, false, cls, customer, plan, units, 0, spread));
+        brain.requestReceived(now, new Request(id, now + 3000, false, cls, customer, plan, units, 0, spread));
     }
 
     void ask(String id, String cls) {
@@ -132,7 +132,7 @@
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
-            brain.timer(now, t.token());
+            brain.timerFired(now, t.token());
         }
         now = end;
     }
--- a/src/test/java/deckfall/GuardsTest.java
+++ b/src/test/java/deckfall/GuardsTest.java
@@ -31,7 +31,7 @@
     void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
         // port-louis rules-3: a late retry was held until the next beat, after its deadline
         FakeGateway g = FakeGateway.alone();
-        g.brain.request(g.now, new Request("r", g.now + 5, false, "read", 1, "free", 1, 0, 1));
+        g.brain.requestReceived(g.now, new Request("r", g.now + 5, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.answers("r"));
     }
 
@@ -52,7 +52,7 @@
     void nothingIsSentAfterTheClientLeft() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "read");
-        g.brain.clientLeft(g.now, "r");
+        g.brain.clientDisconnected(g.now, "r");
         g.withHosts("a1");
         g.pass(3000);
         assertEquals(0, g.sends("r"));
@@ -101,7 +101,7 @@
     void drainedAndGoneHostsGetNothingNew() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
+            g.brain.hostsUpdated(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
                 g.ask("r" + i, "read");
             }
@@ -118,7 +118,8 @@
         for (int i = 0; i < 100; i++) {
             steady(g, i);
         }
-        g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
+        g.brain.hostsUpdated(
+                g.now, ListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
             steady(g, i);
@@ -158,11 +159,11 @@
     void eventsForWhatIsNotHeldArePassedOver() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.brain.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
-        g.brain.clientLeft(g.now, "x");
-        g.brain.timer(g.now, "x");
-        g.brain.probed(g.now, "x", Outcome.OK, 1, new double[0]);
+        g.brain.clientDisconnected(g.now, "x");
+        g.brain.timerFired(g.now, "x");
+        g.brain.probeEnded(g.now, "x", Outcome.OK, 1, new double[0]);
         g.brain.streamStarted(g.now, "x", 0);
-        g.brain.peerSaid(g.now, 5, new byte[] {1});
+        g.brain.peerMessageReceived(g.now, 5, new byte[] {1});
         g.ask("r", "read");
         g.end("r", 7, Outcome.OK, 1);
         g.end("r", 0, Outcome.OK, 1);
--- a/src/test/java/deckfall/PartsTest.java
+++ b/src/test/java/deckfall/PartsTest.java
@@ -43,7 +43,7 @@
                         continue;
                     }
                     for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).brain.peerSaid(all.get(t.peer()).now, from, t.data());
+                        all.get(t.peer()).brain.peerMessageReceived(all.get(t.peer()).now, from, t.data());
                     }
                 }
             }
@@ -145,16 +145,16 @@
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerSaid(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
         }
         Tell.Entry plan = new Tell.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerSaid(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
+        g.brain.peerMessageReceived(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
         g.pass(100);
         assertTrue(g.told.isEmpty());
         Tell.Entry good = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
         byte[] once = new Tell(700, 0, 1, 0, List.of(good)).bytes();
-        g.brain.peerSaid(g.now, member, once);
-        g.brain.peerSaid(g.now, member, once);
+        g.brain.peerMessageReceived(g.now, member, once);
+        g.brain.peerMessageReceived(g.now, member, once);
         g.pass(100);
         Tell.Entry answer = g.told.stream()
                 .flatMap(t -> Tell.read(t.data()).entries().stream())
@@ -269,7 +269,7 @@
         Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.brain.peerSaid(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
             g.pass(200);
             assertTrue(g.told.size() > before, "no answer to life " + life);
         }
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -74,7 +74,7 @@
     }
 
     private void answer(FakeGateway.Counted call, double total) {
-        gateway.brain.counted(gateway.now, call.counter(), Outcome.OK, total);
+        gateway.brain.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
     /** What the customer may have used since the count's window began. */
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -86,7 +86,7 @@
         for (FakeGateway.Counted c : made) {
             calls++;
             Outcome end = counterServes ? Outcome.OK : Outcome.TIMEOUT;
-            g.brain.counted(g.now, c.counter(), end, counts.merge(c.counter(), c.amount(), Double::sum));
+            g.brain.counterCallEnded(g.now, c.counter(), end, counts.merge(c.counter(), c.amount(), Double::sum));
         }
         g.pass(STEP_MS);
     }
--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -384,7 +384,7 @@
     private Function<Actions, Events> holding() {
         return act -> new Scripted((now, r) -> asked.add(r)) {
             @Override
-            public void clientLeft(double now, String id) {
+            public void clientDisconnected(double now, String id) {
                 left.add(id);
             }
         };
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -954,7 +954,7 @@
             acts[0] = actions;
             return new Scripted((now, r) -> {}, end -> {}) {
                 @Override
-                public void counted(double now, String name, Outcome outcome, double total) {
+                public void counterCallEnded(double now, String name, Outcome outcome, double total) {
                     heard.add(new Count(name, outcome, total));
                 }
             };
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -24,7 +24,7 @@
                 Sockets.config(registry.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
         return Sockets.node(config, act -> new Scripted((now, r) -> {}) {
             @Override
-            public void peerSaid(double now, int from, byte[] data) {
+            public void peerMessageReceived(double now, int from, byte[] data) {
                 heard.add(data.length);
             }
         });
--- a/src/test/java/deckfall/net/Scripted.java
+++ b/src/test/java/deckfall/net/Scripted.java
@@ -30,10 +30,10 @@
     public void start(double now, Settings settings) {}
 
     @Override
-    public void hosts(double now, ListKind kind, List<Host> hosts) {}
+    public void hostsUpdated(double now, ListKind kind, List<Host> hosts) {}
 
     @Override
-    public void request(double now, Request r) {
+    public void requestReceived(double now, Request r) {
         script.accept(now, r);
     }
 
@@ -46,33 +46,33 @@
     }
 
     @Override
-    public void clientLeft(double now, String id) {}
+    public void clientDisconnected(double now, String id) {}
 
     @Override
-    public void timer(double now, String token) {}
+    public void timerFired(double now, String token) {}
 
     @Override
-    public void probed(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
+    public void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
     @Override
-    public void peerSaid(double now, int peer, byte[] data) {}
+    public void peerMessageReceived(double now, int peer, byte[] data) {}
 
     @Override
-    public void counted(double now, String counter, Outcome outcome, double total) {}
+    public void counterCallEnded(double now, String counter, Outcome outcome, double total) {}
 
     @Override
-    public void besides(double now, int processes) {}
+    public void processCountChanged(double now, int processes) {}
 
     @Override
-    public List<Remembered> remember(double now) {
+    public List<Remembered> snapshotCustomers(double now) {
         return List.of();
     }
 
     @Override
-    public void recall(double now, List<Remembered> memory) {}
+    public void restoreCustomers(double now, List<Remembered> memory) {}
 
     @Override
-    public int avoided(double now) {
+    public int avoidedHostCount(double now) {
         return 0;
     }
 }
