--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -164,10 +164,10 @@
     }
 
     @Override
-    public void hostsUpdated(double now, ListKind kind, List<Host> hosts) {
-        if (kind == ListKind.FAILED) act.timer(RELAX_MS, "watch");
-        if (kind == ListKind.FAILED) return;
-        if (kind != ListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
+    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
+        if (kind == HostListKind.FAILED) act.timer(RELAX_MS, "watch");
+        if (kind == HostListKind.FAILED) return;
+        if (kind != HostListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
         hosts.forEach(h -> servers.computeIfAbsent(h.id(), id -> new Server(h)).update(h));
         survey(now);
         release(now);
@@ -554,14 +554,14 @@
     }
 
     @Override
-    public List<Remembered> snapshotCustomers(double now) {
+    public List<CustomerSnapshot> snapshotCustomers(double now) {
         customers.values().forEach(c -> touch(now, c));
         return customers.values().stream().map(Customer::remembered).toList();
     }
 
     @Override
-    public void restoreCustomers(double now, List<Remembered> memory) {
-        for (Remembered r : memory) {
+    public void restoreCustomers(double now, List<CustomerSnapshot> memory) {
+        for (CustomerSnapshot r : memory) {
             boolean known = customers.containsKey(r.customer());
             if (known || r.plan() < 0 || r.plan() >= set.plans().size()) continue;
             Customer c = customer(now, r.customer(), r.plan(), r.first(), r.spread());
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -243,8 +243,8 @@
             return Long.parseLong(name, 1, end, 16);
         }
 
-        Gateway.Remembered remembered() {
-            return new Gateway.Remembered(
+        Gateway.CustomerSnapshot remembered() {
+            return new Gateway.CustomerSnapshot(
                     id,
                     planNumber,
                     first,
@@ -262,7 +262,7 @@
         }
 
         /** What one of so many processes of this gateway has of what it remembers. */
-        void recall(Gateway.Remembered r, int processes) {
+        void recall(Gateway.CustomerSnapshot r, int processes) {
             tokens = r.tokens() / processes;
             level = r.level();
             spare = r.spare() / processes;
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -33,7 +33,7 @@
     }
 
     /** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
-    public enum ListKind {
+    public enum HostListKind {
         CHANGES,
         FULL,
         CACHED,
@@ -188,7 +188,7 @@
             double[] report) {}
 
     /** What one process of a gateway knows of a customer, for one that serves beside or after it. */
-    public record Remembered(
+    public record CustomerSnapshot(
             long customer,
             int plan,
             int first,
@@ -204,8 +204,8 @@
             double total,
             double totalAt) {
         /** The same with its times on a clock that is ahead by so many milliseconds. */
-        public Remembered shifted(double ms) {
-            return new Remembered(
+        public CustomerSnapshot shifted(double ms) {
+            return new CustomerSnapshot(
                     customer,
                     plan,
                     first,
@@ -227,7 +227,7 @@
     public interface Events {
         void start(double now, Settings settings);
 
-        void hostsUpdated(double now, ListKind kind, List<Host> hosts);
+        void hostsUpdated(double now, HostListKind kind, List<Host> hosts);
 
         void requestReceived(double now, Request request);
 
@@ -249,10 +249,10 @@
         void processCountChanged(double now, int processes);
 
         /** What this process knows of its customers: a question, not an event. */
-        List<Remembered> snapshotCustomers(double now);
+        List<CustomerSnapshot> snapshotCustomers(double now);
 
         /** What another process of this gateway knew; it stands for customers that this one has not seen. */
-        void restoreCustomers(double now, List<Remembered> memory);
+        void restoreCustomers(double now, List<CustomerSnapshot> memory);
 
         /** How many hosts of the list get no request as long as others may be had: a question, not an event. */
         int avoidedHostCount(double now);
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.buffer.Unpooled;
@@ -188,7 +188,7 @@
                 ctx.close();
             }
             if (!behind && (whole || !entries.isEmpty())) {
-                node.hostsTold(whole ? ListKind.FULL : ListKind.CHANGES, entries);
+                node.hostsTold(whole ? HostListKind.FULL : HostListKind.CHANGES, entries);
             }
             if (!behind) {
                 listed.countDown();
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -1,7 +1,7 @@
 package deckfall.net;
 
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -196,7 +196,7 @@
      * former life of a host, would be sent by the time that it comes up: the caller turns it back, once the module
      * knows the list too.
      */
-    Runnable listed(ListKind kind, List<Discovery.Entry> entries) {
+    Runnable listed(HostListKind kind, List<Discovery.Entry> entries) {
         List<Exchange> stranded = new ArrayList<>();
         Set<String> named = new HashSet<>();
         for (Discovery.Entry e : entries) {
@@ -216,7 +216,7 @@
                 old.strand(stranded);
             }
         }
-        if (kind != ListKind.CHANGES) {
+        if (kind != HostListKind.CHANGES) {
             pools.entrySet().removeIf(p -> {
                 boolean absent = !named.contains(p.getKey());
                 if (absent) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -3,12 +3,12 @@
 import deckfall.DecisionModule;
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.CustomerSnapshot;
 import deckfall.Gateway.Events;
 import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Refusal;
-import deckfall.Gateway.Remembered;
 import deckfall.Gateway.Request;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -83,7 +83,7 @@
     private boolean rehearsing;
     private ConfigReloader reloader; // null where the configuration came from elsewhere
     private SiblingWatch siblings; // set before the start, where another process may serve as this gateway
-    private List<Remembered> recalled = List.of();
+    private List<CustomerSnapshot> recalled = List.of();
     private int processes = 1;
     private SiblingWatch.Siblings others = SiblingWatch.Siblings.NONE;
     private SiblingWatch.Siblings told = SiblingWatch.Siblings.NONE; // what others have last heard of this process
@@ -219,7 +219,7 @@
                         tell((now, m) -> m.restoreCustomers(now, recalled));
                         peers.start();
                         if (config.known().hasNonNull(Discovery.LIST)) {
-                            hostsTold(ListKind.CACHED, Discovery.entries(config.known()));
+                            hostsTold(HostListKind.CACHED, Discovery.entries(config.known()));
                         }
                         discovery.start();
                         counter.start();
@@ -341,7 +341,7 @@
             }
 
             @Override
-            public List<Remembered> memory() throws InterruptedException, ExecutionException, TimeoutException {
+            public List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException {
                 return loop.submit(() -> module.snapshotCustomers(clock.now()))
                         .get(SiblingWatch.MEMORY_MS, TimeUnit.MILLISECONDS);
             }
@@ -643,7 +643,7 @@
         }
     }
 
-    void hostsTold(ListKind kind, List<Discovery.Entry> entries) {
+    void hostsTold(HostListKind kind, List<Discovery.Entry> entries) {
         Runnable turnBack = hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
--- a/src/main/java/deckfall/net/Rehearsal.java
+++ b/src/main/java/deckfall/net/Rehearsal.java
@@ -1,9 +1,9 @@
 package deckfall.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import deckfall.Gateway.CustomerSnapshot;
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.Plan;
-import deckfall.Gateway.Remembered;
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Settings;
 import java.io.IOException;
@@ -59,7 +59,7 @@
     private static void tellSiblings() throws IOException {
         Path folder = Files.createTempDirectory("rehearsal");
         SiblingFiles one = new SiblingFiles(folder, 1);
-        Remembered customer = new Remembered(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+        CustomerSnapshot customer = new CustomerSnapshot(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         one.write(new SiblingFiles.Note(1, 0, true, 0, 0, List.of(customer)));
         new SiblingFiles(folder, 2).others(0);
         one.remove();
--- a/src/main/java/deckfall/net/SiblingFiles.java
+++ b/src/main/java/deckfall/net/SiblingFiles.java
@@ -1,7 +1,7 @@
 package deckfall.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Gateway.Remembered;
+import deckfall.Gateway.CustomerSnapshot;
 import java.io.IOException;
 import java.nio.file.DirectoryIteratorException;
 import java.nio.file.DirectoryStream;
@@ -24,7 +24,7 @@
     private static final String SUFFIX = ".json";
 
     /** A process and its connections as its file tells, at a time of the machine's clock; {@code memory} is empty while nobody is to take over. */
-    record Note(long pid, double atMs, boolean serving, int clients, int hosts, List<Remembered> memory) {}
+    record Note(long pid, double atMs, boolean serving, int clients, int hosts, List<CustomerSnapshot> memory) {}
 
     private final Path folder;
     private final long pid;
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -1,6 +1,6 @@
 package deckfall.net;
 
-import deckfall.Gateway.Remembered;
+import deckfall.Gateway.CustomerSnapshot;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.ExecutionException;
@@ -32,7 +32,7 @@
         int hostConnections();
 
         /** What another process is to start from. */
-        List<Remembered> memory() throws InterruptedException, ExecutionException, TimeoutException;
+        List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException;
 
         /** Called from the watch's thread. */
         void siblings(Siblings seen);
@@ -103,7 +103,7 @@
     }
 
     /** What a process that serves now remembers, for one that starts; empty where there is none. */
-    List<Remembered> memoryOfOther() {
+    List<CustomerSnapshot> memoryOfOther() {
         return files.others(monotonicMs()).stream()
                 .filter(SiblingFiles.Note::serving)
                 .findFirst()
@@ -111,15 +111,15 @@
                 .orElse(List.of());
     }
 
-    private List<Remembered> inMonotonicTime(List<Remembered> memory) {
+    private List<CustomerSnapshot> inMonotonicTime(List<CustomerSnapshot> memory) {
         return shifted(memory, monotonicMs() - clock.now());
     }
 
-    private List<Remembered> inClockTime(List<Remembered> memory) {
+    private List<CustomerSnapshot> inClockTime(List<CustomerSnapshot> memory) {
         return shifted(memory, clock.now() - monotonicMs());
     }
 
-    private static List<Remembered> shifted(List<Remembered> memory, double laterMs) {
+    private static List<CustomerSnapshot> shifted(List<CustomerSnapshot> memory, double laterMs) {
         return memory.stream().map(r -> r.shifted(laterMs)).toList();
     }
 
--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandler.Sharable;
 import io.netty.channel.ChannelHandlerContext;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void hosts(ListKind kind, List<Host> told) {
+    public void hosts(HostListKind kind, List<Host> told) {
         version++;
         changes.put(version, told);
         for (Host h : told) {
--- a/src/main/java/deckfall/scale/DiscoveryStandIn.java
+++ b/src/main/java/deckfall/scale/DiscoveryStandIn.java
@@ -1,7 +1,7 @@
 package deckfall.scale;
 
 import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
+import deckfall.Gateway.HostListKind;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,7 +14,7 @@
 final class DiscoveryStandIn {
     /** What a gateway hears. */
     interface Listener {
-        void hosts(ListKind kind, List<Host> hosts);
+        void hosts(HostListKind kind, List<Host> hosts);
     }
 
     private static final class Agent {
@@ -49,7 +49,7 @@
         agent.listener = listener;
         agent.told = changes.size();
         agents[gateway] = agent;
-        ListKind kind = silent[gateway] ? ListKind.CACHED : ListKind.FULL;
+        HostListKind kind = silent[gateway] ? HostListKind.CACHED : HostListKind.FULL;
         List<Host> all = List.copyOf(hosts.values());
         queue.after(0, () -> listener.hosts(kind, all));
     }
@@ -85,7 +85,7 @@
         changes.subList(agent.told, changes.size()).forEach(news::addAll);
         agent.told = changes.size();
         told++;
-        agent.listener.hosts(ListKind.CHANGES, news);
+        agent.listener.hosts(HostListKind.CHANGES, news);
     }
 
     void silence(int gateway, boolean now) {
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -5,7 +5,7 @@
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Events;
 import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Refusal;
 import deckfall.Gateway.Request;
@@ -100,7 +100,7 @@
 
     // ---- events
 
-    void hosts(ListKind kind, List<Host> hosts) {
+    void hosts(HostListKind kind, List<Host> hosts) {
         tell(Event.OTHER, null, () -> module.hostsUpdated(now(), kind, hosts));
     }
 
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -3,8 +3,8 @@
 import deckfall.DecisionModule;
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Request;
 import java.io.BufferedReader;
@@ -163,15 +163,15 @@
 
     private void membership(double now, DecisionModule brain, Fields f) {
         String how = f.text("how");
-        ListKind kind = switch (how) {
-            case "D" -> ListKind.CHANGES;
-            case "F" -> ListKind.FULL;
-            case "C" -> ListKind.CACHED;
-            case "X" -> ListKind.FAILED;
+        HostListKind kind = switch (how) {
+            case "D" -> HostListKind.CHANGES;
+            case "F" -> HostListKind.FULL;
+            case "C" -> HostListKind.CACHED;
+            case "X" -> HostListKind.FAILED;
             default -> throw new WireFault("unknown list kind '" + how + "'");
         };
         List<Host> hosts = List.of();
-        if (kind != ListKind.FAILED) {
+        if (kind != HostListKind.FAILED) {
             int page = f.count("page");
             hosts = catalogs.get(page);
             if (hosts == null) {
--- a/src/test/java/deckfall/ColdFleet.java
+++ b/src/test/java/deckfall/ColdFleet.java
@@ -2,8 +2,8 @@
 
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Request;
 import deckfall.Gateway.Rules;
@@ -215,7 +215,7 @@
                         s.sharing()));
         g.brain.hostsUpdated(
                 now,
-                ListKind.FULL,
+                HostListKind.FULL,
                 servers.values().stream()
                         .filter(h -> h.up)
                         .map(SeatServer::listed)
@@ -253,7 +253,7 @@
             act(g);
             g.brain.hostsUpdated(
                     now,
-                    ListKind.CHANGES,
+                    HostListKind.CHANGES,
                     changed.stream().map(SeatServer::listed).toList());
             act(g);
         }
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -7,8 +7,8 @@
 
 import deckfall.DecisionState.ClassState;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.RequestClass;
 import java.io.IOException;
@@ -168,7 +168,7 @@
         int total = 0;
         for (int me = 0; me < 300; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hostsUpdated(g.now, ListKind.FULL, hosts);
+            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
                 g.ask("r" + i, "read");
             }
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -4,9 +4,9 @@
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
 import deckfall.Gateway.Limits;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.Refusal;
@@ -92,7 +92,7 @@
         for (String id : ids) {
             hosts.add(host(id, id.substring(0, 1)));
         }
-        brain.hostsUpdated(now, ListKind.FULL, hosts);
+        brain.hostsUpdated(now, HostListKind.FULL, hosts);
         return this;
     }
 
--- a/src/test/java/deckfall/GuardsTest.java
+++ b/src/test/java/deckfall/GuardsTest.java
@@ -6,9 +6,9 @@
 
 import deckfall.Gateway.AttemptResult;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
 import deckfall.Gateway.Limits;
-import deckfall.Gateway.ListKind;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Request;
 import deckfall.Gateway.Settings;
@@ -101,7 +101,7 @@
     void drainedAndGoneHostsGetNothingNew() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.brain.hostsUpdated(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
+            g.brain.hostsUpdated(g.now, HostListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
                 g.ask("r" + i, "read");
             }
@@ -119,7 +119,7 @@
             steady(g, i);
         }
         g.brain.hostsUpdated(
-                g.now, ListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
+                g.now, HostListKind.CHANGES, List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
             steady(g, i);
--- a/src/test/java/deckfall/net/Scripted.java
+++ b/src/test/java/deckfall/net/Scripted.java
@@ -1,11 +1,11 @@
 package deckfall.net;
 
 import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.CustomerSnapshot;
 import deckfall.Gateway.Events;
 import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
+import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Remembered;
 import deckfall.Gateway.Request;
 import deckfall.Gateway.Settings;
 import java.util.List;
@@ -30,7 +30,7 @@
     public void start(double now, Settings settings) {}
 
     @Override
-    public void hostsUpdated(double now, ListKind kind, List<Host> hosts) {}
+    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {}
 
     @Override
     public void requestReceived(double now, Request r) {
@@ -64,12 +64,12 @@
     public void processCountChanged(double now, int processes) {}
 
     @Override
-    public List<Remembered> snapshotCustomers(double now) {
+    public List<CustomerSnapshot> snapshotCustomers(double now) {
         return List.of();
     }
 
     @Override
-    public void restoreCustomers(double now, List<Remembered> memory) {}
+    public void restoreCustomers(double now, List<CustomerSnapshot> memory) {}
 
     @Override
     public int avoidedHostCount(double now) {
--- a/src/test/java/deckfall/net/SiblingFilesTest.java
+++ b/src/test/java/deckfall/net/SiblingFilesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import deckfall.Gateway.Remembered;
+import deckfall.Gateway.CustomerSnapshot;
 import deckfall.net.SiblingFiles.Note;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,8 +13,8 @@
 /** What one process learns of another by their files. */
 class SiblingFilesTest {
     private static final double NOW = 1e12;
-    private static final List<Remembered> MEMORY =
-            List.of(new Remembered(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, NOW, 17, NOW));
+    private static final List<CustomerSnapshot> MEMORY =
+            List.of(new CustomerSnapshot(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, NOW, 17, NOW));
 
     @TempDir
     private Path folder;
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import deckfall.Gateway.Remembered;
+import deckfall.Gateway.CustomerSnapshot;
 import deckfall.net.SiblingWatch.Siblings;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public List<Remembered> memory() {
-                return List.of(new Remembered(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, atMs, 17, atMs));
+            public List<CustomerSnapshot> memory() {
+                return List.of(new CustomerSnapshot(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, atMs, 17, atMs));
             }
 
             @Override
@@ -95,7 +95,7 @@
         after.aheadMs = 3_600_000;
         new SiblingFiles(folder, OTHER_PID).write(note(false)); // one that starts
         new SiblingWatch(new SiblingFiles(folder, 2), before, gateway(before.now() - 100)).look();
-        Remembered heard = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, gateway(0))
+        CustomerSnapshot heard = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, gateway(0))
                 .memoryOfOther()
                 .get(0);
         double agoMs = after.now() - heard.totalAt();
