--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -159,13 +159,13 @@
         estimates = new AdmissionEstimate[settings.plans().size()];
         Arrays.setAll(estimates, i -> new AdmissionEstimate());
         boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
-        if (settings.subscribe()) act.watchHosts();
-        act.timer(TICK_MS, "beat");
+        if (settings.subscribe()) act.subscribeHosts();
+        act.startTimer(TICK_MS, "beat");
     }
 
     @Override
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
-        if (kind == HostListKind.FAILED) act.timer(RELAX_MS, "watch");
+        if (kind == HostListKind.FAILED) act.startTimer(RELAX_MS, "watch");
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
         hosts.forEach(h -> servers.computeIfAbsent(h.id(), id -> new Server(h)).update(h));
@@ -244,9 +244,9 @@
 
     @Override
     public void timerFired(double now, String token) {
-        if (token.equals("watch")) act.watchHosts();
+        if (token.equals("watch")) act.subscribeHosts();
         if (!token.equals("beat")) return;
-        act.timer(TICK_MS, "beat");
+        act.startTimer(TICK_MS, "beat");
         expire(now);
         missAnswers(now);
         reportUsage(now);
@@ -597,7 +597,7 @@
         c.beginCall(now);
         unreportedCustomers.remove(c);
         budget.spend(now);
-        act.count(c.counter(wide(c)), c.calling, COUNT_LIFE_MS);
+        act.addToCounter(c.counter(wide(c)), c.calling, COUNT_LIFE_MS);
     }
 
     @Override
@@ -784,7 +784,7 @@
             }
         }
         peer.toldAt = now;
-        act.tell(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).bytes());
+        act.sendPeerMessage(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).bytes());
     }
 
     private Tell.Entry tellOf(double now, Customer c, Peer keeper) {
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -268,14 +268,14 @@
 
         void fail(String id);
 
-        void timer(double delayMs, String token);
+        void startTimer(double delayMs, String token);
 
-        void probe(String host);
+        void probeHost(String host);
 
-        void tell(int peer, byte[] data);
+        void sendPeerMessage(int peer, byte[] data);
 
-        void count(String counter, double amount, double lifetimeMs);
+        void addToCounter(String counter, double amount, double lifetimeMs);
 
-        void watchHosts();
+        void subscribeHosts();
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -747,28 +747,28 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(String host) {
+    public void probeHost(String host) {
         hosts.probe(host);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendPeerMessage(int peer, byte[] data) {
         peers.send(peer, data);
     }
 
     @Override
-    public void count(String name, double amount, double lifetimeMs) {
+    public void addToCounter(String name, double amount, double lifetimeMs) {
         counter.add(name, amount, lifetimeMs);
     }
 
     /** Discovery is always watched. */
     @Override
-    public void watchHosts() {}
+    public void subscribeHosts() {}
 
     // ---- the end
 
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -240,22 +240,22 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         fleet.queue.after(delayMs, () -> tell(Event.OTHER, null, () -> module.timerFired(now(), token)));
     }
 
     @Override
-    public void probe(String host) {
+    public void probeHost(String host) {
         throw new IllegalStateException("probes are not allowed here");
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendPeerMessage(int peer, byte[] data) {
         throw new IllegalStateException("peers are not allowed here");
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         counts.add(new Count(counter, amount, lifetimeMs));
     }
 
@@ -279,5 +279,5 @@
     }
 
     @Override
-    public void watchHosts() {}
+    public void subscribeHosts() {}
 }
--- a/src/main/java/deckfall/wire/ReplyWriter.java
+++ b/src/main/java/deckfall/wire/ReplyWriter.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         line("TIMER in_ms=")
                 .append(number(delayMs))
                 .append(" cookie=")
@@ -70,12 +70,12 @@
     }
 
     @Override
-    public void probe(String host) {
+    public void probeHost(String host) {
         line("HEALTH_CHECK host=").append(host).append('\n');
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendPeerMessage(int peer, byte[] data) {
         line("NOTIFY dest=")
                 .append(peer)
                 .append(" contents=")
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         line("ADD_AND_GET counter=")
                 .append(counter)
                 .append(" by=")
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void watchHosts() {
+    public void subscribeHosts() {
         line("KEEP_INFORMED want=1\n");
     }
 }
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -167,30 +167,30 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         timers.add(new Timer(now + delayMs, order++, token));
     }
 
     @Override
-    public void probe(String host) {
+    public void probeHost(String host) {
         probed.add(host);
         log.add(now + " probe " + host);
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendPeerMessage(int peer, byte[] data) {
         told.add(new Told(peer, data));
         log.add(now + " tell " + peer + " " + data.length);
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         counted.add(new Counted(counter, amount));
         log.add(now + " count " + counter);
     }
 
     @Override
-    public void watchHosts() {
+    public void subscribeHosts() {
         log.add(now + " watch");
     }
 }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -964,16 +964,16 @@
             java.net.Socket s = kept(counter.accept());
             Count refused;
             do { // until the node knows that it is connected: a call that can't be written is told so at once
-                node.loop.submit(() -> acts[0].count("u1", 2.5, 4000)).sync();
+                node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
                 refused = heard.poll();
             } while (refused != null);
-            node.loop.submit(() -> acts[0].count("u2", -1, 4000)).sync();
+            node.loop.submit(() -> acts[0].addToCounter("u2", -1, 4000)).sync();
             String call = "*4\r\n$6\r\nADDGET\r\n$2\r\nu1\r\n$3\r\n2.5\r\n$4\r\n4000\r\n";
             assertEquals(
                     call,
                     new String(
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
-            node.loop.submit(() -> acts[0].count("u3", 1, 4000)).sync();
+            node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
             s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + none + "\r\n"));
             assertEquals(new Count("u1", Outcome.OK, 7.5), heard.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             assertEquals(new Count("u2", Outcome.FULL, 0), heard.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
