--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -150,7 +150,7 @@
             ClassState state = new ClassState(c);
             state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
             state.latencyPerUnit =
-                    state.base = c.aimMs() * FIRST_GUESS / settings.sharing().maxUnits();
+                    state.base = c.goalMs() * FIRST_GUESS / settings.sharing().maxUnits();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++)
@@ -990,7 +990,7 @@
     private double giveUpAt(Ask ask) {
         double end = ask.request.deadlineMs() - DEADLINE_MS;
         if (ask.ran() != null) return end;
-        double aim = ask.cls.spec.aimMs();
+        double aim = ask.cls.spec.goalMs();
         double useful = ask.cls.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
         double hold = useful - ask.arrived - FINISH_SHARE * ask.work();
         return Math.min(end, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
@@ -1010,7 +1010,7 @@
         RequestClass spec = ask.cls.spec;
         boolean harmless = ask.ran() == null
                 || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && spec.scope() == Gateway.Scope.ALL;
+                || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         close(now, ask);
         // A place may be had once what is held now has left.
         double wait = waitTold(ask.cls.queue.size() * ask.cls.releaseGap);
@@ -1054,7 +1054,7 @@
     // ---- weights by donation
 
     static double goal(ClassState c) {
-        return c.spec.aimMs() * DELAY_GOAL;
+        return c.spec.goalMs() * DELAY_GOAL;
     }
 
     private void weighClasses(double now) {
@@ -1193,7 +1193,7 @@
         return repeatable(now, ask, ran)
                 && (ran == null
                         || ask.cls.spec.effect() != Effect.KEYED
-                        || ask.cls.spec.scope().together(s.info, ran.server.info));
+                        || ask.cls.spec.keyScope().dropsSameKeys(s.info, ran.server.info));
     }
 
     private boolean repeatable(double now, Ask ask, Attempt ran) {
@@ -1206,7 +1206,8 @@
     /** A further attempt may first wait for a connection as long as one may take to come up. */
     private double windowMs(RequestClass spec) {
         return Math.min(
-                WINDOW_SHARE * spec.windowMs(), spec.windowMs() - set.limits().connectTimeoutMs());
+                WINDOW_SHARE * spec.keyWindowMs(),
+                spec.keyWindowMs() - set.limits().connectTimeoutMs());
     }
 
     private boolean mayTryAgain(double now, Ask ask) {
@@ -1244,7 +1245,7 @@
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
             latencySum += r.latencyMs(); // a time-out is an answer at least that late
             baseSum += c.base * ask.request.units();
-            aimShareSum += r.latencyMs() / c.spec.aimMs();
+            aimShareSum += r.latencyMs() / c.spec.goalMs();
             answers++;
         }
         if (ask.customer != null) meter(now, ask.customer, r.usedPct());
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -14,13 +14,13 @@
     }
 
     /** The hosts that drop repeats of one key. */
-    public enum Scope {
+    public enum KeyScope {
         ALL,
         ZONE,
         CELL;
 
         /** True where both hosts drop repeats of the same keys. */
-        public boolean together(Host a, Host b) {
+        public boolean dropsSameKeys(Host a, Host b) {
             return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
         }
     }
@@ -75,9 +75,9 @@
     public record RequestClass(
             String name,
             Effect effect,
-            Scope scope,
-            double windowMs,
-            double aimMs,
+            KeyScope keyScope,
+            double keyWindowMs,
+            double goalMs,
             double deadlineMs,
             double worth,
             double lateValue,
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -2,12 +2,12 @@
 
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.Host;
+import deckfall.Gateway.KeyScope;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
-import deckfall.Gateway.Scope;
 import deckfall.Gateway.Settings;
 import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
@@ -68,7 +68,7 @@
             classes.add(new RequestClass(
                     "c" + i,
                     i % ONCE_EVERY == 1 ? Effect.ONCE : Effect.REPEATABLE,
-                    Scope.ALL,
+                    KeyScope.ALL,
                     0,
                     options.goalMs,
                     options.deadlineMs,
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -228,7 +228,7 @@
             classes.addObject()
                     .put("name", c.name())
                     .put("effect", c.effect() == Effect.REPEATABLE ? "repeatable" : "once")
-                    .put("goal_time_ms", c.aimMs())
+                    .put("goal_time_ms", c.goalMs())
                     .put("hard_limit_ms", c.deadlineMs())
                     .put("worth", c.worth());
         }
--- a/src/main/java/deckfall/wire/SettingsReader.java
+++ b/src/main/java/deckfall/wire/SettingsReader.java
@@ -1,11 +1,11 @@
 package deckfall.wire;
 
 import deckfall.Gateway.Effect;
+import deckfall.Gateway.KeyScope;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
-import deckfall.Gateway.Scope;
 import deckfall.Gateway.Settings;
 import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
@@ -108,11 +108,11 @@
         };
     }
 
-    private static Scope scope(String word) {
+    private static KeyScope scope(String word) {
         return switch (word) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.CELL;
+            case "all" -> KeyScope.ALL;
+            case "zone" -> KeyScope.ZONE;
+            case "cell" -> KeyScope.CELL;
             default -> throw new WireFault("unknown key scope '" + word + "'");
         };
     }
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -6,6 +6,7 @@
 import deckfall.Gateway.Host;
 import deckfall.Gateway.HostListKind;
 import deckfall.Gateway.HostState;
+import deckfall.Gateway.KeyScope;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
@@ -13,7 +14,6 @@
 import deckfall.Gateway.Request;
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
-import deckfall.Gateway.Scope;
 import deckfall.Gateway.Settings;
 import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
@@ -23,10 +23,11 @@
 
 /** A clock and a notebook: plays events into one Brain and keeps what it does. */
 final class FakeGateway implements Actions {
-    static final RequestClass READ = new RequestClass("read", Effect.REPEATABLE, Scope.ALL, 0, 1000, 3000, 1, 0, false);
-    static final RequestClass PAY = new RequestClass("pay", Effect.ONCE, Scope.ALL, 0, 1000, 3000, 3, 0, false);
+    static final RequestClass READ =
+            new RequestClass("read", Effect.REPEATABLE, KeyScope.ALL, 0, 1000, 3000, 1, 0, false);
+    static final RequestClass PAY = new RequestClass("pay", Effect.ONCE, KeyScope.ALL, 0, 1000, 3000, 3, 0, false);
     static final RequestClass ORDER =
-            new RequestClass("order", Effect.KEYED, Scope.ZONE, 1000, 1000, 3000, 3, 0, false);
+            new RequestClass("order", Effect.KEYED, KeyScope.ZONE, 1000, 1000, 3000, 3, 0, false);
     static final Plan SMALL = new Plan("small", 4, 12, 0, 1, 0, 1, 0, 0, 0);
     static final Plan CAPPED = new Plan("capped", 100, 100, 0, 1, 0, 1, 20, 40, 4);
     static final Plan OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
