--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -281,7 +281,7 @@
             c.tokens = wide(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, leastHold(p));
             // The ceiling's store starts with what has filled since this gateway started, never with a burst:
             // before a restart this gateway may have spent it (rule 5).
-            double filled = (now - startedAt) / 1000 * p.ceilingRate() * ceilingShare(c);
+            double filled = (now - startedAt) / 1000 * p.capRate() * ceilingShare(c);
             c.ceiling = Math.min(ceilingHold(c), filled);
             customers.put(id, c);
         }
@@ -296,7 +296,7 @@
     }
 
     private double ceilingHold(Customer c) {
-        return c.plan.ceilingBurst() * ceilingShare(c);
+        return c.plan.capBurst() * ceilingShare(c);
     }
 
     private void touch(double now, Customer c) {
@@ -314,7 +314,7 @@
         c.spare = Math.min(spareHold(c, part), c.spare + left * s);
         c.tokens = Math.min(Math.max(part * p.burst(), leastHold(p)), c.tokens + part * p.rate() * s);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.ceilingRate() * ceilingShare(c) * s);
+        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.capRate() * ceilingShare(c) * s);
     }
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
@@ -395,7 +395,7 @@
                 || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
                 || spares(c, units)
                 || (asks || counts(c)) && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
-        boolean ceiling = p.ceilingRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
+        boolean ceiling = p.capRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
         if (room && ceiling) return Verdict.IN;
         ask.requested = units;
         if (counts(c) && ceiling && draws(now, ask, chance(ask))) return Verdict.COUNT;
@@ -410,13 +410,15 @@
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
     private boolean wide(Customer c) {
-        return partless(c) && c.plan.ceilingRate() <= 0 && (set.sharing().counter() || costly(c.plan));
+        return partless(c) && c.plan.capRate() <= 0 && (set.sharing().counter() || costly(c.plan));
     }
 
     private boolean costly(Plan p) {
-        double mean =
-                set.plans().stream().mapToDouble(Plan::excessLoss).average().orElse(0);
-        return p.excessLoss() >= mean;
+        double mean = set.plans().stream()
+                .mapToDouble(Plan::weightedExcessLoss)
+                .average()
+                .orElse(0);
+        return p.weightedExcessLoss() >= mean;
     }
 
     /**
@@ -451,7 +453,7 @@
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
     private double risk(double now, Ask ask) {
         boolean controlled = now - counterToldAt < RELAX_MS;
-        return (controlled ? margin : 1) * ask.customer.plan.excessLossOfWorth() * (1 - chance(ask));
+        return (controlled ? margin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
     }
 
     /** Whether it pays in the mean to let in what the counter is not asked about. */
@@ -461,7 +463,7 @@
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
     private void adaptMargin(Ask ask, double chance) {
-        excess.add(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.overCost());
+        excess.add(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
         double step = excess.share() > EXCESS_BOUND ? MARGIN_STEP : 1 / MARGIN_STEP;
         margin = Math.max(1, Math.min(MARGIN_MAX, margin * step));
     }
@@ -481,7 +483,7 @@
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
     private double reserve(double now, Customer c) {
-        double cost = c.plan.excessLossOfWorth();
+        double cost = c.plan.excessLossRatio();
         double rate = c.others + WARY * c.plan.rate();
         return rate * (now - c.newsAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
@@ -658,7 +660,7 @@
     private boolean worthCalling(double now, Customer c) {
         double each = wide(c) ? GIVE_BACK : c.spread * (1 - c.fullness());
         double units = Math.min(c.plan.burst(), each * Math.abs(c.unreported) + c.adjusting);
-        return units > 0 && budget.has(now) && units * c.plan.price() * meanWorth >= budget.price(now);
+        return units > 0 && budget.has(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
@@ -703,7 +705,7 @@
         if (keeper < 0 || keeper == set.me() || now + ANSWER_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
-            decide(now, ask, room && (c.plan.ceilingRate() <= 0 || c.ceiling >= ask.request.units()));
+            decide(now, ask, room && (c.plan.capRate() <= 0 || c.ceiling >= ask.request.units()));
             changed(now, c);
             return;
         }
@@ -797,7 +799,7 @@
         return new Tell.Entry(
                 false,
                 asked,
-                c.plan.ceilingRate() > 0 && c.ceiling < want,
+                c.plan.capRate() > 0 && c.ceiling < want,
                 false,
                 view,
                 c.id,
@@ -819,7 +821,7 @@
         return new Tell.Entry(
                 true,
                 false,
-                c.plan.ceilingRate() > 0,
+                c.plan.capRate() > 0,
                 unsure(now, c),
                 false,
                 c.id,
@@ -878,7 +880,7 @@
         double spent = m.known && !adopts ? Tell.ahead(e.used(), m.booked) : 0;
         m.known = true;
         c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
-        boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
+        boolean gives = e.ceiling() && c.plan.capRate() > 0;
         boolean grants =
                 e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want()) && (!gives || c.ceiling >= e.want());
         m.granted = grants ? e.want() : 0;
@@ -923,7 +925,7 @@
                 continue;
             }
             c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.ceilingRate() <= 0 || c.ceiling >= units);
+            boolean in = granted >= units && (c.plan.capRate() <= 0 || c.ceiling >= units);
             granted -= in ? units : 0;
             decide(now, ask, in);
             int first = c.keepers[0]; // it did not book what another let in
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -449,7 +449,7 @@
         }
 
         double worth() {
-            return cls.spec.worth() * customer.plan.price() * request.units();
+            return cls.spec.worth() * customer.plan.valueFactor() * request.units();
         }
 
         /** Time that the class's requests of this size have been taking. */
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -89,25 +89,25 @@
             double rate,
             double burst,
             int openLimit,
-            double price,
-            double overWorth,
-            double overCost,
-            double ceilingRate,
-            double ceilingBurst,
-            double ceilingSlack) {
+            double valueFactor,
+            double excessWorth,
+            double excessCost,
+            double capRate,
+            double capBurst,
+            double capSlack) {
         /** True where what is served beyond the quota earns as much as it costs. */
         public boolean excessPays() {
-            return overWorth > 0 && overWorth >= overCost;
+            return excessWorth > 0 && excessWorth >= excessCost;
         }
 
         /** What a unit beyond the quota loses, in times of its worth. */
-        public double excessLossOfWorth() {
-            return overCost - overWorth;
+        public double excessLossRatio() {
+            return excessCost - excessWorth;
         }
 
         /** The same, in times of the worth of the class alone. */
-        public double excessLoss() {
-            return price * excessLossOfWorth();
+        public double weightedExcessLoss() {
+            return valueFactor * excessLossRatio();
         }
     }
 
--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -63,9 +63,9 @@
                     p.rate() * scale,
                     p.burst() * scale,
                     o.openLimit,
-                    p.price(),
-                    p.overWorth(),
-                    p.overCost(),
+                    p.valueFactor(),
+                    p.excessWorth(),
+                    p.excessCost(),
                     0,
                     0,
                     0));
@@ -137,7 +137,7 @@
     /** The plans as gateways are told of them where another decides on quotas. */
     List<Plan> plansWithoutQuotas() {
         return plans.stream()
-                .map(p -> new Plan(p.name(), 0, 0, 0, p.price(), p.overWorth(), p.overCost(), 0, 0, 0))
+                .map(p -> new Plan(p.name(), 0, 0, 0, p.valueFactor(), p.excessWorth(), p.excessCost(), 0, 0, 0))
                 .toList();
     }
 
--- a/src/main/java/deckfall/scale/Quotas.java
+++ b/src/main/java/deckfall/scale/Quotas.java
@@ -52,12 +52,12 @@
             return;
         }
         unitsBeyond += t.units;
-        priceBeyond += customers.plan(t.customer).overCost() * worth(t);
+        priceBeyond += customers.plan(t.customer).excessCost() * worth(t);
         beyond.add(t.customer, nowMs, t.units);
     }
 
     private double worth(Try t) {
-        return customers.plan(t.customer).price() * t.units;
+        return customers.plan(t.customer).valueFactor() * t.units;
     }
 
     /** A try that was never sent on was refused: with room, where half of the store lay unused. */
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -239,9 +239,9 @@
                     .put("units_per_s", p.rate())
                     .put("depth", p.burst())
                     .put("at_once", p.openLimit())
-                    .put("value_factor", p.price())
-                    .put("over_worth", p.overWorth())
-                    .put("excess_cost", p.overCost());
+                    .put("value_factor", p.valueFactor())
+                    .put("over_worth", p.excessWorth())
+                    .put("excess_cost", p.excessCost());
         }
         return root;
     }
