--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -238,7 +238,7 @@
         if (ask == null) return;
         close(now, ask);
         for (Attempt a : ask.attempts) {
-            if (a.out && set.limits().cancel() && !ask.streaming) act.cancel(id, a.number);
+            if (a.out && set.limits().mayCancel() && !ask.streaming) act.cancel(id, a.number);
         }
     }
 
@@ -340,7 +340,7 @@
     private boolean spares(Customer c, double units) {
         double unseen = othersRate(c) * METER_LATE_MS / 1000;
         boolean guesses = set.sharing().meterPeriodMs() > 0 || !costly(c.plan);
-        return guesses && !set.limits().peers() && c.spread > 1 && c.spare - unseen >= units;
+        return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spare - unseen >= units;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
@@ -351,7 +351,7 @@
     /** The part of all processes of this gateway. */
     private double partOfAll(double now, Customer c) {
         if (c.spread == 1) return 1;
-        if (!set.limits().peers()) return now - c.meterAt < RELAX_MS ? c.meterPart : 1.0 / c.spread;
+        if (!set.limits().peerMessages()) return now - c.meterAt < RELAX_MS ? c.meterPart : 1.0 / c.spread;
         if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.me()) return 1.0 / c.spread;
         double prior = EVEN_PRIOR * c.plan.rate();
         return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
@@ -388,7 +388,7 @@
         }
         if (limited) ask.evidence = evidence(now, ask);
         if (limited && wide(c)) return judgeWide(now, ask);
-        boolean asks = set.limits().peers() && c.spread > 1;
+        boolean asks = set.limits().peerMessages() && c.spread > 1;
         int keeper = keeper(now, c, 0);
         boolean room = !limited
                 || keeper == set.me() && asks
@@ -404,7 +404,7 @@
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
     private boolean partless(Customer c) {
-        return !set.limits().peers()
+        return !set.limits().peerMessages()
                 && c.plan.burst() / c.spread < set.sharing().maxUnits();
     }
 
@@ -490,8 +490,8 @@
 
     private boolean openAdmits(double now, Customer c) {
         int limit = c.plan.openLimit();
-        boolean fresh =
-                c.spread == 1 || set.limits().peers() && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
+        boolean fresh = c.spread == 1
+                || set.limits().peerMessages() && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
         return limit <= 0
                 || (fresh ? c.open + c.othersOpen < limit : c.open < Math.max(1, (int) (limit * part(now, c))));
     }
@@ -501,7 +501,7 @@
         if (c.plan.rate() <= 0) return waitTold(0);
         double store = 1000 * (units - c.level) / c.plan.rate();
         double bucket = 1000 * (units - c.tokens) / (c.plan.rate() * Math.max(EVEN_PRIOR, part(now, c)));
-        return waitTold(set.limits().peers() || now - c.totalAt < FRESH_MS ? store : Math.max(store, bucket));
+        return waitTold(set.limits().peerMessages() || now - c.totalAt < FRESH_MS ? store : Math.max(store, bucket));
     }
 
     private double waitTold(double ms) {
@@ -526,7 +526,7 @@
      * would grow by itself: each gateway of the set would see its own share rise until the next figure.
      */
     private void meter(double now, Customer c, int usedPct) {
-        if (usedPct <= 0 || set.limits().peers() || c.plan.rate() <= 0) return;
+        if (usedPct <= 0 || set.limits().peerMessages() || c.plan.rate() <= 0) return;
         c.meterAt = now;
         double period = set.sharing().meterPeriodMs();
         if (usedPct == c.usedPct && now - c.partAt < period) return; // told before: it says nothing new
@@ -576,7 +576,7 @@
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
     private boolean counts(Customer c) {
         return set.sharing().counter()
-                && !set.limits().peers()
+                && !set.limits().peerMessages()
                 && c.spread > 1
                 && c.plan.rate() > 0
                 && !c.plan.excessPays();
@@ -741,7 +741,7 @@
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
     private void changed(double now, Customer c) {
-        if (!set.limits().peers() || c.spread == 1) return;
+        if (!set.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
         if (keeper != set.me()) {
             c.toldAt = now;
@@ -1262,7 +1262,7 @@
                 s.of(a.ask.cls).judge(now, Health.SLOW_MAX, FAILED_GAIN);
                 boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
                 boolean safe =
-                        a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
+                        a.ask.cls.spec.effect() != Effect.ONCE && set.limits().mayCancel();
                 if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
             }
         }
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -114,11 +114,11 @@
     /** What a gateway may do for one request, and whether it may talk to others. */
     public record Limits(
             int maxAttempts,
-            boolean duplicates,
-            boolean cancel,
-            boolean probes,
-            boolean peers,
-            boolean retryAfter,
+            boolean mayDuplicate,
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean peerMessages,
+            boolean mayAdviseRetry,
             double maxRetryAfterMs,
             double connectTimeoutMs) {}
 
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -111,7 +111,7 @@
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
         }
-        boolean mail = settings.limits().peers() && root.hasNonNull("peer_listen");
+        boolean mail = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         return new NodeConfig(
                 address(text(root, "listen")),
                 root.hasNonNull(OPERATOR) ? address(text(root, OPERATOR)) : null,
