--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -149,13 +149,13 @@
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
             state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit =
-                    state.base = c.goalMs() * FIRST_GUESS / settings.sharing().maxUnits();
+            state.latencyPerUnit = state.base =
+                    c.goalMs() * FIRST_GUESS / settings.coordination().maxUnitsPerRequest();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++)
             planNumbers.put(settings.plans().get(i).name(), i);
-        budget = new CallBudget(now, settings.sharing().counterTimeoutMs(), peers.length);
+        budget = new CallBudget(now, settings.coordination().counterTimeoutMs(), peers.length);
         estimates = new AdmissionEstimate[settings.plans().size()];
         Arrays.setAll(estimates, i -> new AdmissionEstimate());
         boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
@@ -323,7 +323,7 @@
     }
 
     private double leastHold(Plan p) {
-        return Math.min(p.burst(), set.sharing().maxUnits());
+        return Math.min(p.burst(), set.coordination().maxUnitsPerRequest());
     }
 
     /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
@@ -339,7 +339,7 @@
      */
     private boolean spares(Customer c, double units) {
         double unseen = othersRate(c) * METER_LATE_MS / 1000;
-        boolean guesses = set.sharing().meterPeriodMs() > 0 || !costly(c.plan);
+        boolean guesses = set.coordination().meterPeriodMs() > 0 || !costly(c.plan);
         return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spare - unseen >= units;
     }
 
@@ -378,7 +378,7 @@
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
         meanWorth += WORTH_GAIN * (ask.cls.spec.worth() - meanWorth);
-        budget.leastPrice(set.sharing().counterPrice(), meanWorth);
+        budget.leastPrice(set.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
         if (full || limited && c.level < units) {
@@ -405,12 +405,12 @@
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
     private boolean partless(Customer c) {
         return !set.limits().peerMessages()
-                && c.plan.burst() / c.spread < set.sharing().maxUnits();
+                && c.plan.burst() / c.spread < set.coordination().maxUnitsPerRequest();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
     private boolean wide(Customer c) {
-        return partless(c) && c.plan.capRate() <= 0 && (set.sharing().counter() || costly(c.plan));
+        return partless(c) && c.plan.capRate() <= 0 && (set.coordination().hasCounter() || costly(c.plan));
     }
 
     private boolean costly(Plan p) {
@@ -428,7 +428,7 @@
     private Verdict judgeWide(double now, Ask ask) {
         Customer c = ask.customer;
         double units = ask.request.units();
-        if (!set.sharing().counter()) return c.tokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
+        if (!set.coordination().hasCounter()) return c.tokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
         boolean in = guess(now, ask);
         boolean foundEmpty = c.verdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
         if (!in && foundEmpty) return Verdict.OUT; // asked a moment ago
@@ -475,9 +475,10 @@
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
     private int evidence(double now, Ask ask) {
         Customer c = ask.customer;
-        double perPeriod = c.plan.rate() * set.sharing().meterPeriodMs() / 1000;
+        double perPeriod = c.plan.rate() * set.coordination().meterPeriodMs() / 1000;
         double metered = now - c.meterAt < recallMs(c.plan) ? (c.usedPct - 1) / 100.0 * perPeriod : 0;
-        boolean hot = metered > Math.max(perPeriod, CONCURRENT * set.sharing().maxUnits());
+        boolean hot =
+                metered > Math.max(perPeriod, CONCURRENT * set.coordination().maxUnitsPerRequest());
         return AdmissionEstimate.evidence(ask.request.retry(), hot, c.verdict(now, recallMs(c.plan)));
     }
 
@@ -528,7 +529,7 @@
     private void meter(double now, Customer c, int usedPct) {
         if (usedPct <= 0 || set.limits().peerMessages() || c.plan.rate() <= 0) return;
         c.meterAt = now;
-        double period = set.sharing().meterPeriodMs();
+        double period = set.coordination().meterPeriodMs();
         if (usedPct == c.usedPct && now - c.partAt < period) return; // told before: it says nothing new
         c.usedPct = usedPct;
         double fade = Math.exp(-Math.max(0, now - c.partAt) / DEMAND_MS);
@@ -575,7 +576,7 @@
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
     private boolean counts(Customer c) {
-        return set.sharing().counter()
+        return set.coordination().hasCounter()
                 && !set.limits().peerMessages()
                 && c.spread > 1
                 && c.plan.rate() > 0
@@ -760,7 +761,7 @@
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
     private void post(double now) {
-        double rate = Math.max(1, set.sharing().mailPerSecond()) * MAIL_SHARE / 1000;
+        double rate = Math.max(1, set.coordination().peerMessagesPerSecond()) * MAIL_SHARE / 1000;
         mail = Math.min(Math.max(1, rate * MAIL_BURST_MS), mail + (now - mailAt) * rate / 2);
         mailAt = now;
         double gap = Math.min(GAP_MAX_MS, (peers.length - 1) / rate);
@@ -1233,7 +1234,7 @@
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
                 c.noteDelay(0, r.latencyMs());
-                if (ask.customer != null && set.sharing().postPaid() && r.trueUnits() > 0) {
+                if (ask.customer != null && set.coordination().postPaid() && r.trueUnits() > 0) {
                     charge(now, ask.customer, r.trueUnits() - ask.request.units(), 0);
                     if (ask.counted) addUnreported(ask.customer, r.trueUnits() - ask.request.units());
                 }
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -133,17 +133,17 @@
             double askWithinMs) {}
 
     /** Where gateways may learn of each other, and what one costs. */
-    public record Sharing(
-            boolean counter,
-            double counterPrice,
+    public record Coordination(
+            boolean hasCounter,
+            double counterCallPrice,
             double counterTimeoutMs,
             double meterPeriodMs,
             boolean postPaid,
-            double maxUnits,
-            double mailPerSecond,
-            double peerPrice,
+            double maxUnitsPerRequest,
+            double peerMessagesPerSecond,
+            double peerMessagePrice,
             double probePrice,
-            double zonePrice) {}
+            double crossZonePrice) {}
 
     /** All that a gateway is told at its start. */
     public record Settings(
@@ -157,7 +157,7 @@
             List<String> reportNames,
             Limits limits,
             Rules rules,
-            Sharing sharing) {}
+            Coordination coordination) {}
 
     /** A host as discovery tells of it. */
     public record Host(
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -116,7 +116,9 @@
                 address(text(root, "listen")),
                 root.hasNonNull(OPERATOR) ? address(text(root, OPERATOR)) : null,
                 address(text(root, "discovery")),
-                settings.sharing().counter() && root.hasNonNull("counter") ? address(text(root, "counter")) : null,
+                settings.coordination().hasCounter() && root.hasNonNull("counter")
+                        ? address(text(root, "counter"))
+                        : null,
                 mail ? address(text(root, "peer_listen")) : null,
                 List.copyOf(peers),
                 root.hasNonNull("peers_all") ? address(text(root, "peers_all")) : null,
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -1,5 +1,6 @@
 package deckfall.scale;
 
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.Host;
 import deckfall.Gateway.KeyScope;
@@ -9,7 +10,6 @@
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -122,7 +122,7 @@
                 List.of(),
                 new Limits(MOST_ATTEMPTS, false, true, false, false, true, MOST_RETRY_AFTER_MS, CONNECT_MS),
                 new Rules(8, 500, 2, 1000, options.coldFrom, options.warmMs, 0),
-                new Sharing(
+                new Coordination(
                         counter != null,
                         0.01,
                         options.counterTimeoutMs,
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -219,9 +219,9 @@
                 .put("warm_within_ms", s.rules().warmWithinMs());
         settings.putObject("specifics")
                 .put("counter", true)
-                .put("counter_price", s.sharing().counterPrice())
-                .put("meter_period_ms", s.sharing().meterPeriodMs())
-                .put("max_units", s.sharing().maxUnits())
+                .put("counter_price", s.coordination().counterCallPrice())
+                .put("meter_period_ms", s.coordination().meterPeriodMs())
+                .put("max_units", s.coordination().maxUnitsPerRequest())
                 .put("counter_timeout_ms", options.counterTimeoutMs);
         ArrayNode classes = settings.putArray("classes");
         for (RequestClass c : s.classes()) {
--- a/src/main/java/deckfall/wire/SettingsReader.java
+++ b/src/main/java/deckfall/wire/SettingsReader.java
@@ -1,5 +1,6 @@
 package deckfall.wire;
 
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.KeyScope;
 import deckfall.Gateway.Limits;
@@ -7,7 +8,6 @@
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -36,7 +36,7 @@
                 f.number("rules.cold_from", 0),
                 f.number("rules.warm_within_ms", 0),
                 f.number("rules.ask_within_ms", 0));
-        Sharing sharing = new Sharing(
+        Coordination sharing = new Coordination(
                 f.flag("specifics.counter", false),
                 f.number("specifics.counter_price", 0),
                 f.number("specifics.counter_timeout_ms", COUNTER_MS),
--- a/src/test/java/deckfall/ColdFleet.java
+++ b/src/test/java/deckfall/ColdFleet.java
@@ -212,7 +212,7 @@
                         s.reportNames(),
                         s.limits(),
                         rules,
-                        s.sharing()));
+                        s.coordination()));
         g.brain.hostsUpdated(
                 now,
                 HostListKind.FULL,
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.Refusal;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
                                 s.rules(),
-                                new Sharing(counter, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
+                                new Coordination(counter, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
     }
 
@@ -215,7 +215,7 @@
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
                                 s.rules(),
-                                new Sharing(true, 0, 80, 0, false, 1, 0, 0, 0, 0)))
+                                new Coordination(true, 0, 80, 0, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
         askUntilCounted();
         assertEquals(1, g.sent.size()); // its part of the burst, and no more unasked
--- a/src/test/java/deckfall/FakeGateway.java
+++ b/src/test/java/deckfall/FakeGateway.java
@@ -2,6 +2,7 @@
 
 import deckfall.Gateway.Actions;
 import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Effect;
 import deckfall.Gateway.Host;
 import deckfall.Gateway.HostListKind;
@@ -15,7 +16,6 @@
 import deckfall.Gateway.RequestClass;
 import deckfall.Gateway.Rules;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -77,7 +77,7 @@
                 List.of(),
                 new Limits(4, false, true, true, true, true, 500, 100),
                 new Rules(8, 500, 2, 1000, 0.2, 10_000, 0),
-                new Sharing(false, 0, 80, 0, false, 4, 60, 0.01, 0.01, 0.01));
+                new Coordination(false, 0, 80, 0, false, 4, 60, 0.01, 0.01, 0.01));
     }
 
     static FakeGateway alone() {
--- a/src/test/java/deckfall/GuardsTest.java
+++ b/src/test/java/deckfall/GuardsTest.java
@@ -190,7 +190,7 @@
                                     s.reportNames(),
                                     slow,
                                     s.rules(),
-                                    s.sharing()))
+                                    s.coordination()))
                     .withHosts("a1", "a2");
             g.ask("o", "order");
             g.pass(at);
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -41,7 +41,7 @@
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
                                 s.rules(),
-                                new Sharing(true, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
+                                new Coordination(true, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
     }
 
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.Coordination;
 import deckfall.Gateway.Limits;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Plan;
 import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -53,7 +53,7 @@
                                     List.of(),
                                     new Limits(3, false, true, false, false, true, 500, 100),
                                     s.rules(),
-                                    new Sharing(true, 0, 80, PERIOD_MS, false, 1, 0, 0, 0, 0)))
+                                    new Coordination(true, 0, 80, PERIOD_MS, false, 1, 0, 0, 0, 0)))
                     .withHosts("a1", "a2", "a3", "a4"));
         }
     }
