--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -141,7 +141,7 @@
         random = new Random(settings.seed());
         startedAt = now;
         epoch = (int) (long) now;
-        peers = new Peer[Math.max(1, settings.gateways())];
+        peers = new Peer[Math.max(1, settings.gatewayCount())];
         Arrays.setAll(peers, Peer::new);
         double worth = settings.classes().stream()
                 .mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth()))
@@ -159,7 +159,7 @@
         estimates = new AdmissionEstimate[settings.plans().size()];
         Arrays.setAll(estimates, i -> new AdmissionEstimate());
         boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
-        if (settings.subscribe()) act.subscribeHosts();
+        if (settings.subscribesToHosts()) act.subscribeHosts();
         act.startTimer(TICK_MS, "beat");
     }
 
@@ -292,7 +292,7 @@
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
     private double ceilingShare(Customer c) {
         if (c.spread == 1) return 1;
-        return (c.keepers[0] == set.me() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
+        return (c.keepers[0] == set.gatewayNumber() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
     }
 
     private double ceilingHold(Customer c) {
@@ -352,7 +352,7 @@
     private double partOfAll(double now, Customer c) {
         if (c.spread == 1) return 1;
         if (!set.limits().peerMessages()) return now - c.meterAt < RELAX_MS ? c.meterPart : 1.0 / c.spread;
-        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.me()) return 1.0 / c.spread;
+        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
         double prior = EVEN_PRIOR * c.plan.rate();
         return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
     }
@@ -362,9 +362,9 @@
         for (int i = stage; i < c.keepers.length; i++) {
             int k = c.keepers[i];
             boolean last = i == c.keepers.length - 1;
-            if (k == set.me() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
+            if (k == set.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
         }
-        return c.keepers[0] == set.me() ? set.me() : -1;
+        return c.keepers[0] == set.gatewayNumber() ? set.gatewayNumber() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
@@ -391,7 +391,7 @@
         boolean asks = set.limits().peerMessages() && c.spread > 1;
         int keeper = keeper(now, c, 0);
         boolean room = !limited
-                || keeper == set.me() && asks
+                || keeper == set.gatewayNumber() && asks
                 || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
                 || spares(c, units)
                 || (asks || counts(c)) && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
@@ -492,7 +492,8 @@
     private boolean openAdmits(double now, Customer c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.spread == 1
-                || set.limits().peerMessages() && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
+                || set.limits().peerMessages()
+                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS);
         return limit <= 0
                 || (fresh ? c.open + c.othersOpen < limit : c.open < Math.max(1, (int) (limit * part(now, c))));
     }
@@ -703,7 +704,7 @@
     private void question(double now, Ask ask, int stage) {
         Customer c = ask.customer;
         int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.me() || now + ANSWER_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
+        if (keeper < 0 || keeper == set.gatewayNumber() || now + ANSWER_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
             decide(now, ask, room && (c.plan.capRate() <= 0 || c.ceiling >= ask.request.units()));
@@ -744,12 +745,12 @@
     private void changed(double now, Customer c) {
         if (!set.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
-        if (keeper != set.me()) {
+        if (keeper != set.gatewayNumber()) {
             c.toldAt = now;
             if (keeper >= 0) queue(peers[keeper], c);
         } else if (now - c.toldAt > SYNC_MS) {
             c.toldAt = now;
-            IntStream.of(c.keepers).filter(k -> k != set.me()).forEach(k -> queue(peers[k], c));
+            IntStream.of(c.keepers).filter(k -> k != set.gatewayNumber()).forEach(k -> queue(peers[k], c));
         }
     }
 
@@ -796,7 +797,7 @@
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
-        boolean view = keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS;
+        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS;
         return new Tell.Entry(
                 false,
                 asked,
@@ -839,7 +840,7 @@
 
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
-        Tell tell = from < 0 || from >= peers.length || from == set.me() ? null : Tell.read(data);
+        Tell tell = from < 0 || from >= peers.length || from == set.gatewayNumber() ? null : Tell.read(data);
         if (tell == null) return; // unknown sender, or damaged
         Peer peer = peers[from];
         boolean sameLife = peer.met && tell.epoch() == peer.epoch;
@@ -865,7 +866,7 @@
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
-        if (IntStream.of(c.keepers).noneMatch(k -> k == set.me())) return;
+        if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayNumber())) return;
         boolean unsure = unsure(now, c);
         boolean adopts = e.view() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
@@ -887,7 +888,7 @@
         m.granted = grants ? e.want() : 0;
         m.booked = e.used() + m.granted;
         c.level -= m.granted;
-        if (keeper(now, c, 0) == set.me() && spent + m.granted != 0) changed(now, c);
+        if (keeper(now, c, 0) == set.gatewayNumber() && spent + m.granted != 0) changed(now, c);
         if (grants && gives && e.reply()) { // deducted here first, so a lost message loses units
             c.ceiling -= e.want();
             m.given += e.want();
@@ -930,7 +931,7 @@
             granted -= in ? units : 0;
             decide(now, ask, in);
             int first = c.keepers[0]; // it did not book what another let in
-            if (in && peer.number != first && first != set.me()) queue(peers[first], c);
+            if (in && peer.number != first && first != set.gatewayNumber()) queue(peers[first], c);
         }
     }
 
@@ -1136,7 +1137,7 @@
         homes.clear();
         int kept = Math.max(HOMES, HOST_GATEWAYS * usable.size() / peers.length);
         for (int i = 0; i < Math.min(kept, usable.size()); i++) {
-            homes.add(usable.get((int) (((long) set.me() * kept + i) % usable.size())));
+            homes.add(usable.get((int) (((long) set.gatewayNumber() * kept + i) % usable.size())));
         }
     }
 
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -148,13 +148,13 @@
     /** All that a gateway is told at its start. */
     public record Settings(
             long seed,
-            int me,
-            int gateways,
+            int gatewayNumber,
+            int gatewayCount,
             String zone,
-            boolean subscribe,
+            boolean subscribesToHosts,
             List<RequestClass> classes,
             List<Plan> plans,
-            List<String> reportNames,
+            List<String> loadMetricNames,
             Limits limits,
             Rules rules,
             Coordination coordination) {}
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -314,7 +314,7 @@
     }
 
     void probe(String host) {
-        List<String> names = node.config.settings().reportNames();
+        List<String> names = node.config.settings().loadMetricNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
         double sentAt = node.clock.now();
         Exchange probe = new Exchange() {
@@ -763,7 +763,7 @@
 
     /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
     private double[] parse(String text) {
-        List<String> names = node.config.settings().reportNames();
+        List<String> names = node.config.settings().loadMetricNames();
         Map<String, Double> told = new HashMap<>();
         for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
             int equals = part.indexOf('=');
--- a/src/main/java/deckfall/net/Rehearsal.java
+++ b/src/main/java/deckfall/net/Rehearsal.java
@@ -126,7 +126,7 @@
                 i,
                 planName(settings, i / 2),
                 i % 64,
-                1 + i % settings.gateways(),
+                1 + i % settings.gatewayCount(),
                 body.length(),
                 body);
     }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -46,7 +46,7 @@
 
     RealGateway(
             Fleet fleet, Pace pace, Settings settings, int zone, PairedTimes times, HttpPool clients, HttpPool direct) {
-        super(settings.me(), zone);
+        super(settings.gatewayNumber(), zone);
         this.fleet = fleet;
         this.pace = pace;
         this.settings = settings;
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -193,7 +193,7 @@
             JsonNode known) {
         ObjectNode root = new ObjectMapper()
                 .createObjectNode()
-                .put("name", "n" + s.me())
+                .put("name", "n" + s.gatewayNumber())
                 .put("listen", Listeners.text(listen))
                 .put("discovery", Listeners.text(discovery))
                 .put("seed", Long.toHexString(s.seed()))
@@ -201,8 +201,8 @@
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
         root.set("known", known);
         ObjectNode settings = root.putObject("settings")
-                .put("ordinal", s.me())
-                .put("balancers", s.gateways())
+                .put("ordinal", s.gatewayNumber())
+                .put("balancers", s.gatewayCount())
                 .put("az", s.zone());
         settings.putObject("limits")
                 .put("max_attempts", s.limits().maxAttempts())
--- a/src/test/java/deckfall/ColdFleet.java
+++ b/src/test/java/deckfall/ColdFleet.java
@@ -209,7 +209,7 @@
                         false,
                         s.classes(),
                         s.plans(),
-                        s.reportNames(),
+                        s.loadMetricNames(),
                         s.limits(),
                         rules,
                         s.coordination()));
--- a/src/test/java/deckfall/GuardsTest.java
+++ b/src/test/java/deckfall/GuardsTest.java
@@ -187,7 +187,7 @@
                                     false,
                                     s.classes(),
                                     s.plans(),
-                                    s.reportNames(),
+                                    s.loadMetricNames(),
                                     slow,
                                     s.rules(),
                                     s.coordination()))
