--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -222,7 +222,7 @@
         inFlight--;
         if (a.server.out.isEmpty()) watched.remove(a.server);
         learn(now, ask, a, r);
-        if (r.closed()) {
+        if (r.requestClosed()) {
             close(now, ask);
         } else if (!ask.done && !ask.anyOut()) {
             if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.cls.queue.addFirst(ask);
@@ -1235,9 +1235,9 @@
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
                 c.noteDelay(0, r.latencyMs());
-                if (ask.customer != null && set.coordination().postPaid() && r.trueUnits() > 0) {
-                    charge(now, ask.customer, r.trueUnits() - ask.request.units(), 0);
-                    if (ask.counted) addUnreported(ask.customer, r.trueUnits() - ask.request.units());
+                if (ask.customer != null && set.coordination().postPaid() && r.actualUnits() > 0) {
+                    charge(now, ask.customer, r.actualUnits() - ask.request.units(), 0);
+                    if (ask.counted) addUnreported(ask.customer, r.actualUnits() - ask.request.units());
                 }
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
@@ -1252,7 +1252,7 @@
             aimShareSum += r.latencyMs() / c.spec.goalMs();
             answers++;
         }
-        if (ask.customer != null) meter(now, ask.customer, r.usedPct());
+        if (ask.customer != null) meter(now, ask.customer, r.meterReading());
     }
 
     private void watchHealth(double now) {
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -182,10 +182,10 @@
             String host,
             Outcome outcome,
             double latencyMs,
-            boolean closed,
-            int usedPct,
-            double trueUnits,
-            double[] report) {}
+            boolean requestClosed,
+            int meterReading,
+            double actualUnits,
+            double[] loadMetrics) {}
 
     /** What one process of a gateway knows of a customer, for one that serves beside or after it. */
     public record CustomerSnapshot(
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -925,7 +925,7 @@
                 s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + told.poll() + "Content-Length: 0\r\n\r\n")));
         List<Integer> heard = new CopyOnWriteArrayList<>();
         Node node = scripted(
-                act -> new Scripted((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.usedPct())),
+                act -> new Scripted((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
                 entry("h0", host.address(), "ready"));
         awaitWatches(1);
         Client c = client(node);
