--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -777,8 +777,8 @@
     }
 
     private void tell(double now, Peer peer) {
-        List<Tell.Entry> entries = new ArrayList<>();
-        int room = (TELL_BYTES - Tell.HEAD_BYTES) / Tell.ENTRY_BYTES;
+        List<PeerMessage.Entry> entries = new ArrayList<>();
+        int room = (TELL_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.serial++;
         for (LinkedHashSet<Customer> due : List.of(peer.answers, peer.tells)) {
             for (Iterator<Customer> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
@@ -788,17 +788,18 @@
             }
         }
         peer.toldAt = now;
-        act.sendPeerMessage(peer.number, new Tell(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).bytes());
+        act.sendPeerMessage(
+                peer.number, new PeerMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).encode());
     }
 
-    private Tell.Entry tellOf(double now, Customer c, Peer keeper) {
+    private PeerMessage.Entry tellOf(double now, Customer c, Peer keeper) {
         for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
         boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS;
-        return new Tell.Entry(
+        return new PeerMessage.Entry(
                 false,
                 asked,
                 c.plan.capRate() > 0 && c.ceiling < want,
@@ -816,11 +817,11 @@
                 0);
     }
 
-    private Tell.Entry answer(double now, Customer c, Peer to) {
+    private PeerMessage.Entry answer(double now, Customer c, Peer to) {
         Member m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
         double others = Math.max(0, c.demand + c.others - theirs);
-        return new Tell.Entry(
+        return new PeerMessage.Entry(
                 true,
                 false,
                 c.plan.capRate() > 0,
@@ -840,35 +841,36 @@
 
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
-        Tell tell = from < 0 || from >= peers.length || from == set.gatewayNumber() ? null : Tell.read(data);
+        PeerMessage tell =
+                from < 0 || from >= peers.length || from == set.gatewayNumber() ? null : PeerMessage.decode(data);
         if (tell == null) return; // unknown sender, or damaged
         Peer peer = peers[from];
         boolean sameLife = peer.met && tell.epoch() == peer.epoch;
         // Overtaken on the way, told twice, or from before the sender's restart.
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late = sameLife ? !Tell.after(tell.serial(), peer.heardSerial) : tell.epoch() - peer.epoch < 0;
+        boolean late = sameLife ? !PeerMessage.isAfter(tell.serial(), peer.heardSerial) : tell.epoch() - peer.epoch < 0;
         if (peer.met && late) return;
         peer.met = true;
         peer.epoch = tell.epoch();
         peer.heardSerial = tell.serial();
         peer.silentTill = DecisionState.NEVER;
-        boolean toThisLife = tell.yourEpoch() == epoch;
-        for (Tell.Entry e : tell.entries()) {
+        boolean toThisLife = tell.receiverEpoch() == epoch;
+        for (PeerMessage.Entry e : tell.entries()) {
             if (e.plan() >= set.plans().size()) continue;
-            if (e.answer()) hearAnswer(now, peer, e, tell.yourSerial(), toThisLife);
+            if (e.answer()) hearAnswer(now, peer, e, tell.receivedSerial(), toThisLife);
             else hearTell(now, peer, e);
         }
         post(now);
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, Peer peer, Tell.Entry e) {
+    private void hearTell(double now, Peer peer, PeerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
         if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayNumber())) return;
         boolean unsure = unsure(now, c);
-        boolean adopts = e.view() && (unsure || keeper(now, c, 0) == peer.number);
+        boolean adopts = e.hasLevel() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
             c.level = Math.min(unsure ? c.level : c.plan.burst(), e.fullness() * c.plan.burst());
             c.informed = true;
@@ -877,52 +879,53 @@
         c.others = Math.max(0, c.others + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
         m.demand = e.demand();
         m.demandAt = now;
-        c.othersOpen += e.open() - m.open;
-        m.open = e.open();
-        double spent = m.known && !adopts ? Tell.ahead(e.used(), m.booked) : 0;
+        c.othersOpen += e.openRequests() - m.open;
+        m.open = e.openRequests();
+        double spent = m.known && !adopts ? PeerMessage.unitsAhead(e.usedUnits(), m.booked) : 0;
         m.known = true;
         c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
-        boolean gives = e.ceiling() && c.plan.capRate() > 0;
-        boolean grants =
-                e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want()) && (!gives || c.ceiling >= e.want());
-        m.granted = grants ? e.want() : 0;
-        m.booked = e.used() + m.granted;
+        boolean gives = e.cap() && c.plan.capRate() > 0;
+        boolean grants = e.wantedUnits() > 0
+                && (c.plan.rate() <= 0 || c.level >= e.wantedUnits())
+                && (!gives || c.ceiling >= e.wantedUnits());
+        m.granted = grants ? e.wantedUnits() : 0;
+        m.booked = e.usedUnits() + m.granted;
         c.level -= m.granted;
         if (keeper(now, c, 0) == set.gatewayNumber() && spent + m.granted != 0) changed(now, c);
-        if (grants && gives && e.reply()) { // deducted here first, so a lost message loses units
-            c.ceiling -= e.want();
-            m.given += e.want();
+        if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
+            c.ceiling -= e.wantedUnits();
+            m.given += e.wantedUnits();
         }
-        if (e.reply()) {
+        if (e.replyWanted()) {
             peer.answers.add(c);
             queue(peer, null);
         }
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, Peer peer, Tell.Entry e, int mySerial, boolean toThisLife) {
+    private void hearAnswer(double now, Peer peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
         Customer c = customers.get(e.customer());
         if (c == null || c.planNumber != e.plan() || !toThisLife) return;
         touch(now, c);
         Member m = c.member(peer);
-        if (e.ceiling() && e.given() > m.taken) {
-            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.given() - m.taken);
-            m.taken = e.given();
+        if (e.cap() && e.capUnitsGiven() > m.taken) {
+            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.capUnitsGiven() - m.taken);
+            m.taken = e.capUnitsGiven();
         }
         List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !Tell.after(a.askSerial, mySerial))
+                .filter(a -> a.keeper == peer.number && !PeerMessage.isAfter(a.askSerial, mySerial))
                 .toList();
-        if (!e.unsure()) {
+        if (!e.uninformed()) {
             c.others = e.demand();
-            c.othersOpen = e.open();
+            c.othersOpen = e.openRequests();
             c.newsAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burst() - Tell.ahead(c.used, e.used());
+            c.level = e.fullness() * c.plan.burst() - PeerMessage.unitsAhead(c.used, e.usedUnits());
         }
-        double granted = e.want();
+        double granted = e.wantedUnits();
         for (Ask ask : judged) {
             double units = ask.request.units();
-            if (e.unsure() && ask.stage + 1 < c.keepers.length) {
+            if (e.uninformed() && ask.stage + 1 < c.keepers.length) {
                 question(now, ask, ask.stage + 1);
                 continue;
             }
--- a/src/test/java/deckfall/PartsTest.java
+++ b/src/test/java/deckfall/PartsTest.java
@@ -144,32 +144,34 @@
         int member = keeper == 0 ? 1 : 0;
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
-            Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerMessageReceived(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            PeerMessage.Entry e =
+                    new PeerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
+            g.brain.peerMessageReceived(g.now, member, new PeerMessage(500, 0, 1 + set[1], 0, List.of(e)).encode());
         }
-        Tell.Entry plan = new Tell.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerMessageReceived(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
+        PeerMessage.Entry plan =
+                new PeerMessage.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
+        g.brain.peerMessageReceived(g.now, member, new PeerMessage(600, 0, 1, 0, List.of(plan)).encode());
         g.pass(100);
         assertTrue(g.told.isEmpty());
-        Tell.Entry good = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
-        byte[] once = new Tell(700, 0, 1, 0, List.of(good)).bytes();
+        PeerMessage.Entry good = new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
+        byte[] once = new PeerMessage(700, 0, 1, 0, List.of(good)).encode();
         g.brain.peerMessageReceived(g.now, member, once);
         g.brain.peerMessageReceived(g.now, member, once);
         g.pass(100);
-        Tell.Entry answer = g.told.stream()
-                .flatMap(t -> Tell.read(t.data()).entries().stream())
-                .filter(Tell.Entry::answer)
+        PeerMessage.Entry answer = g.told.stream()
+                .flatMap(t -> PeerMessage.decode(t.data()).entries().stream())
+                .filter(PeerMessage.Entry::answer)
                 .findFirst()
                 .orElseThrow();
-        assertEquals(4, answer.want());
+        assertEquals(4, answer.wantedUnits());
         assertEquals(8.0 / 12, answer.fullness(), 0.05);
     }
 
     @Test
     void runningTotalsRunOverTheEndsOfTheirFields() {
         double far = (1L << 31) / 16.0;
-        assertEquals(3, Tell.ahead(far + 1, far - 2));
-        assertTrue(Tell.after(2, 65_534) && !Tell.after(65_534, 2));
+        assertEquals(3, PeerMessage.unitsAhead(far + 1, far - 2));
+        assertTrue(PeerMessage.isAfter(2, 65_534) && !PeerMessage.isAfter(65_534, 2));
     }
 
     @Test
@@ -205,22 +207,22 @@
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x10;
-            assertNull(Tell.read(bad), "byte " + i);
+            assertNull(PeerMessage.decode(bad), "byte " + i);
         }
-        assertNull(Tell.read(java.util.Arrays.copyOf(good, good.length - 1)));
-        assertNull(Tell.read(new byte[0]));
-        assertNotNull(Tell.read(good));
+        assertNull(PeerMessage.decode(java.util.Arrays.copyOf(good, good.length - 1)));
+        assertNull(PeerMessage.decode(new byte[0]));
+        assertNotNull(PeerMessage.decode(good));
     }
 
     @Test
     void aTellKeepsWhatItSays() {
         long customer = 4569004829183723L % (1L << 33);
-        Tell.Entry tell =
-                new Tell.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5, -0.5, 300, 0);
-        Tell.Entry answer =
-                new Tell.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5, 0.25, 4, 70_000.5);
-        Tell said = new Tell(-5, 9, 65_535, 0, List.of(tell, answer));
-        assertEquals(said, Tell.read(said.bytes()));
+        PeerMessage.Entry tell = new PeerMessage.Entry(
+                false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5, -0.5, 300, 0);
+        PeerMessage.Entry answer = new PeerMessage.Entry(
+                true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5, 0.25, 4, 70_000.5);
+        PeerMessage said = new PeerMessage(-5, 9, 65_535, 0, List.of(tell, answer));
+        assertEquals(said, PeerMessage.decode(said.encode()));
     }
 
     @Test
@@ -266,10 +268,10 @@
     @Test
     void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
-        Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
+        PeerMessage.Entry e = new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.brain.peerMessageReceived(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
+            g.brain.peerMessageReceived(g.now, 1, new PeerMessage(life, 0, 1, 0, List.of(e)).encode());
             g.pass(200);
             assertTrue(g.told.size() > before, "no answer to life " + life);
         }
