--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -378,7 +378,7 @@
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
         meanWorth += WORTH_GAIN * (ask.cls.spec.worth() - meanWorth);
-        budget.leastPrice(set.coordination().counterCallPrice(), meanWorth);
+        budget.updateMinPrice(set.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
         if (full || limited && c.level < units) {
@@ -436,14 +436,14 @@
         if (!asks && in) adaptMargin(ask, chance(ask));
         if (!asks) return in ? Verdict.IN : Verdict.OUT;
         ask.requested = chance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
-        ask.sampledWeight = in ? units * (1 / (ask.share * budget.granted()) - 1) : 0;
+        ask.sampledWeight = in ? units * (1 / (ask.share * budget.allowedShare()) - 1) : 0;
         return Verdict.COUNT;
     }
 
     /** Whether a call is made that saves so much of a request's worth. */
     private boolean draws(double now, Ask ask, double saved) {
         ask.share = Math.min(1, ask.worth() * saved / budget.price(now));
-        return random.nextDouble() < ask.share && budget.grants(now);
+        return random.nextDouble() < ask.share && budget.allowsCall(now);
     }
 
     private double chance(Ask ask) {
@@ -600,7 +600,7 @@
         if (wide(c)) c.window = c.windowAt(now, COUNT_LIFE_MS);
         c.beginCall(now);
         unreportedCustomers.remove(c);
-        budget.spend(now);
+        budget.recordCall(now);
         act.addToCounter(c.counter(wide(c)), c.calling, COUNT_LIFE_MS);
     }
 
@@ -611,7 +611,7 @@
         touch(now, c);
         c.called = false;
         boolean told = outcome == Outcome.OK;
-        budget.answered(now, now - c.calledAt, told);
+        budget.recordAnswer(now, now - c.calledAt, told);
         if (told) counterToldAt = now;
         if (told && wide(c)) learnWindow(now, c, total);
         else if (told) learnTotal(now, c, total);
@@ -662,7 +662,7 @@
     private boolean worthCalling(double now, Customer c) {
         double each = wide(c) ? GIVE_BACK : c.spread * (1 - c.fullness());
         double units = Math.min(c.plan.burst(), each * Math.abs(c.unreported) + c.adjusting);
-        return units > 0 && budget.has(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
+        return units > 0 && budget.hasSavedCall(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
--- a/src/test/java/deckfall/CallBudgetTest.java
+++ b/src/test/java/deckfall/CallBudgetTest.java
@@ -23,15 +23,15 @@
         for (double end = now + seconds * 1000; now < end; now += STEP_MS) {
             queue = Math.max(0, queue - borne * STEP_MS / 1000);
             for (CallBudget b : fleet) {
-                b.leastPrice(0, 1);
+                b.updateMinPrice(0, 1);
                 if (random.nextDouble() >= STEP_MS * WISHES / 1000) continue;
                 int which = random.nextInt(2);
                 boolean drawn = random.nextDouble() < (which == 0 ? little : much) / b.price(now);
-                if (!drawn || !b.grants(now)) continue;
-                b.spend(now);
+                if (!drawn || !b.allowsCall(now)) continue;
+                b.recordCall(now);
                 calls[which]++;
                 double took = ++queue / borne * 1000;
-                b.answered(now, Math.min(TIMEOUT_MS, took), took < TIMEOUT_MS);
+                b.recordAnswer(now, Math.min(TIMEOUT_MS, took), took < TIMEOUT_MS);
             }
         }
         return calls;
