--- a/src/main/java/deckfall/AdmissionEstimate.java
+++ b/src/main/java/deckfall/AdmissionEstimate.java
@@ -7,8 +7,8 @@
 final class AdmissionEstimate {
     /** What the counter told of a customer when it was asked last, or that this gateway let one in, not long ago. */
     enum CounterVerdict {
-        NOTHING,
-        USED,
+        UNKNOWN,
+        ADMITTED,
         ROOM,
         LOW,
         EMPTY;
@@ -17,34 +17,35 @@
             if (!room) {
                 return EMPTY;
             }
-            return fullness < HALF ? LOW : ROOM;
+            return fullness < LOW_FULLNESS ? LOW : ROOM;
         }
     }
 
-    private static final double HALF = 0.5; // of a store, below which it is low
+    private static final double LOW_FULLNESS = 0.5; // of a store, below which it is low
 
-    private static final double[] EXPECTED = {0.8, 0.6, 0.8, 0.6, 0.4}; // by what was told
-    private static final double HOT = 0.8; // less where the meter showed more than the quota
-    private static final double RETRY = 0.6; // and where another gateway has refused
-    private static final double EXPECTED_WEIGHT = 4; // answers
-    private static final double FADE = 0.98; // an answer
-    private static final int ROW = CounterVerdict.values().length;
+    private static final double[] PRIOR_CHANCES = {0.8, 0.6, 0.8, 0.6, 0.4}; // by what was told
+    private static final double OVER_QUOTA_FACTOR = 0.8; // less where the meter showed more than the quota
+    private static final double RETRY_FACTOR = 0.6; // and where another gateway has refused
+    private static final double PRIOR_WEIGHT = 4; // answers
+    private static final double DECAY = 0.98; // an answer
+    private static final int VERDICT_COUNT = CounterVerdict.values().length;
 
-    private final double[] room = new double[4 * ROW];
-    private final double[] answers = new double[4 * ROW];
+    private final double[] roomCounts = new double[4 * VERDICT_COUNT];
+    private final double[] answerCounts = new double[4 * VERDICT_COUNT];
 
-    static int evidence(boolean retry, boolean hot, CounterVerdict verdict) {
-        return (retry ? 2 * ROW : 0) + (hot ? ROW : 0) + verdict.ordinal();
+    static int evidence(boolean retry, boolean overQuota, CounterVerdict verdict) {
+        return (retry ? 2 * VERDICT_COUNT : 0) + (overQuota ? VERDICT_COUNT : 0) + verdict.ordinal();
     }
 
-    double of(int evidence) {
-        double expected =
-                EXPECTED[evidence % ROW] * (evidence / ROW % 2 == 1 ? HOT : 1) * (evidence >= 2 * ROW ? RETRY : 1);
-        return (room[evidence] + EXPECTED_WEIGHT * expected) / (answers[evidence] + EXPECTED_WEIGHT);
+    double chance(int evidence) {
+        double prior = PRIOR_CHANCES[evidence % VERDICT_COUNT]
+                * (evidence / VERDICT_COUNT % 2 == 1 ? OVER_QUOTA_FACTOR : 1)
+                * (evidence >= 2 * VERDICT_COUNT ? RETRY_FACTOR : 1);
+        return (roomCounts[evidence] + PRIOR_WEIGHT * prior) / (answerCounts[evidence] + PRIOR_WEIGHT);
     }
 
-    void learn(int evidence, boolean hadRoom) {
-        room[evidence] = FADE * room[evidence] + (hadRoom ? 1 : 0);
-        answers[evidence] = FADE * answers[evidence] + 1;
+    void record(int evidence, boolean hadRoom) {
+        roomCounts[evidence] = DECAY * roomCounts[evidence] + (hadRoom ? 1 : 0);
+        answerCounts[evidence] = DECAY * answerCounts[evidence] + 1;
     }
 }
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -447,7 +447,7 @@
     }
 
     private double chance(Ask ask) {
-        return estimates[ask.customer.planNumber].of(ask.evidence);
+        return estimates[ask.customer.planNumber].chance(ask.evidence);
     }
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
@@ -463,8 +463,8 @@
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
     private void adaptMargin(Ask ask, double chance) {
-        excess.add(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
-        double step = excess.share() > EXCESS_BOUND ? MARGIN_STEP : 1 / MARGIN_STEP;
+        excess.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
+        double step = excess.costShare() > EXCESS_BOUND ? MARGIN_STEP : 1 / MARGIN_STEP;
         margin = Math.max(1, Math.min(MARGIN_MAX, margin * step));
     }
 
@@ -653,7 +653,7 @@
 
     private void learnRoom(double now, Ask ask, boolean room) {
         Customer c = ask.customer;
-        estimates[c.planNumber].learn(ask.evidence, room);
+        estimates[c.planNumber].record(ask.evidence, room);
         ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
         c.verdict = CounterVerdict.of(room, c.fullness());
     }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -164,7 +164,7 @@
         double adjusting; // units that have lapsed unused, to be added by the next call
         double adjusted; // and by the call under way
         AdmissionEstimate.CounterVerdict verdict =
-                AdmissionEstimate.CounterVerdict.NOTHING; // by the counter, when it was asked last
+                AdmissionEstimate.CounterVerdict.UNKNOWN; // by the counter, when it was asked last
         List<Ask> asking = List.of(); // requests whose units it carries
 
         Customer(long id, int planNumber, Plan plan, int first, int spread, int[] keepers, double now) {
@@ -285,8 +285,8 @@
         AdmissionEstimate.CounterVerdict verdict(double now, double forMs) {
             if (now - totalAt < forMs) return verdict;
             return now - letInAt < forMs
-                    ? AdmissionEstimate.CounterVerdict.USED
-                    : AdmissionEstimate.CounterVerdict.NOTHING;
+                    ? AdmissionEstimate.CounterVerdict.ADMITTED
+                    : AdmissionEstimate.CounterVerdict.UNKNOWN;
         }
 
         double fullness() {
--- a/src/main/java/deckfall/ExcessEstimate.java
+++ b/src/main/java/deckfall/ExcessEstimate.java
@@ -5,19 +5,19 @@
  * inside them: sums that fade with each request. It decides nothing.
  */
 final class ExcessEstimate {
-    private static final double FADE = 0.98; // a request: some fifty count
+    private static final double DECAY = 0.98; // a request: some fifty count
 
-    private double earned;
-    private double cost;
+    private double expectedWorthSum;
+    private double expectedCostSum;
 
     /** One request let in: its expected worth inside the quota and its expected cost beyond it. */
-    void add(double expectedWorth, double expectedCost) {
-        earned = FADE * earned + expectedWorth;
-        cost = FADE * cost + expectedCost;
+    void record(double expectedWorth, double expectedCost) {
+        expectedWorthSum = DECAY * expectedWorthSum + expectedWorth;
+        expectedCostSum = DECAY * expectedCostSum + expectedCost;
     }
 
     /** The expected cost as a share of the expected worth; 0 before the first request. */
-    double share() {
-        return earned > 0 ? cost / earned : 0;
+    double costShare() {
+        return expectedWorthSum > 0 ? expectedCostSum / expectedWorthSum : 0;
     }
 }
