--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -103,9 +103,9 @@
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Long, Customer> customers = new LinkedHashMap<>();
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, Ask> asks = new LinkedHashMap<>();
+    private final Map<String, RequestState> asks = new LinkedHashMap<>();
     private final ArrayDeque<Peer> outbox = new ArrayDeque<>();
-    private final LinkedHashSet<Ask> questions = new LinkedHashSet<>();
+    private final LinkedHashSet<RequestState> questions = new LinkedHashSet<>();
     private final LinkedHashSet<Customer> unreportedCustomers = new LinkedHashSet<>();
     private final LinkedHashSet<Server> watched = new LinkedHashSet<>();
     private final List<Server> usable = new ArrayList<>();
@@ -180,7 +180,7 @@
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
         Customer c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
-        Ask ask = new Ask(r, cls, c, now);
+        RequestState ask = new RequestState(r, cls, c, now);
         asks.put(r.id(), ask);
         switch (c == null ? Verdict.IN : judge(now, ask)) {
             case IN -> letIn(now, ask);
@@ -192,53 +192,53 @@
         post(now);
     }
 
-    private void letIn(double now, Ask ask) {
-        ClassState cls = ask.cls;
+    private void letIn(double now, RequestState ask) {
+        ClassState cls = ask.classState;
         ask.admitted = true;
         Customer c = ask.customer;
         if (c != null) c.begin(now);
-        if (c != null) charge(now, c, ask.request.units(), ask.request.units());
+        if (c != null) charge(now, c, ask.details.units(), ask.details.units());
         if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
         cls.queue.addLast(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !ask.done && ask.attempts.isEmpty();
+        boolean held = !ask.closed && ask.attempts.isEmpty();
         if (held && now + cls.queue.size() * cls.releaseGap >= giveUpAt(ask)) finish(now, ask);
     }
 
     @Override
     public void streamStarted(double now, String id, int attempt) {
-        Ask ask = asks.get(id);
+        RequestState ask = asks.get(id);
         if (ask != null) ask.streaming = true;
     }
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
-        Ask ask = asks.get(r.id());
+        RequestState ask = asks.get(r.id());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
-        if (!a.out) return;
+        if (!a.inFlight) return;
         a.end(r.outcome());
         inFlight--;
-        if (a.server.out.isEmpty()) watched.remove(a.server);
+        if (a.host.out.isEmpty()) watched.remove(a.host);
         learn(now, ask, a, r);
         if (r.requestClosed()) {
             close(now, ask);
-        } else if (!ask.done && !ask.anyOut()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.cls.queue.addFirst(ask);
+        } else if (!ask.closed && !ask.hasAttemptInFlight()) {
+            if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.classState.queue.addFirst(ask);
             else finish(now, ask);
         }
-        if (ask.done && !ask.anyOut()) asks.remove(ask.request.id());
+        if (ask.closed && !ask.hasAttemptInFlight()) asks.remove(ask.details.id());
         release(now);
     }
 
     @Override
     public void clientDisconnected(double now, String id) {
-        Ask ask = asks.get(id);
+        RequestState ask = asks.get(id);
         if (ask == null) return;
         close(now, ask);
         for (Attempt a : ask.attempts) {
-            if (a.out && set.limits().mayCancel() && !ask.streaming) act.cancel(id, a.number);
+            if (a.inFlight && set.limits().mayCancel() && !ask.streaming) act.cancel(id, a.number);
         }
     }
 
@@ -372,12 +372,12 @@
         return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
     }
 
-    private Verdict judge(double now, Ask ask) {
+    private Verdict judge(double now, RequestState ask) {
         Customer c = ask.customer;
-        double units = ask.request.units();
+        double units = ask.details.units();
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
-        meanWorth += WORTH_GAIN * (ask.cls.spec.worth() - meanWorth);
+        meanWorth += WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
         budget.updateMinPrice(set.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
@@ -397,7 +397,7 @@
                 || (asks || counts(c)) && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
         boolean ceiling = p.capRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
         if (room && ceiling) return Verdict.IN;
-        ask.requested = units;
+        ask.requestedUnits = units;
         if (counts(c) && ceiling && draws(now, ask, chance(ask))) return Verdict.COUNT;
         return asks ? Verdict.ASK : Verdict.OUT;
     }
@@ -425,9 +425,9 @@
      * A call is drawn by what it would save against the guess. What that lets in unasked is counted by those
      * drawn: each adds the units of the others that its draw stands for; the total is true in the mean.
      */
-    private Verdict judgeWide(double now, Ask ask) {
+    private Verdict judgeWide(double now, RequestState ask) {
         Customer c = ask.customer;
-        double units = ask.request.units();
+        double units = ask.details.units();
         if (!set.coordination().hasCounter()) return c.tokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
         boolean in = guess(now, ask);
         boolean foundEmpty = c.verdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
@@ -435,34 +435,34 @@
         boolean asks = draws(now, ask, in ? risk(now, ask) : chance(ask));
         if (!asks && in) adaptMargin(ask, chance(ask));
         if (!asks) return in ? Verdict.IN : Verdict.OUT;
-        ask.requested = chance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
-        ask.sampledWeight = in ? units * (1 / (ask.share * budget.allowedShare()) - 1) : 0;
+        ask.requestedUnits = chance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
+        ask.sampledUnits = in ? units * (1 / (ask.callProbability * budget.allowedShare()) - 1) : 0;
         return Verdict.COUNT;
     }
 
     /** Whether a call is made that saves so much of a request's worth. */
-    private boolean draws(double now, Ask ask, double saved) {
-        ask.share = Math.min(1, ask.worth() * saved / budget.price(now));
-        return random.nextDouble() < ask.share && budget.allowsCall(now);
+    private boolean draws(double now, RequestState ask, double saved) {
+        ask.callProbability = Math.min(1, ask.worth() * saved / budget.price(now));
+        return random.nextDouble() < ask.callProbability && budget.allowsCall(now);
     }
 
-    private double chance(Ask ask) {
+    private double chance(RequestState ask) {
         return estimates[ask.customer.planNumber].chance(ask.evidence);
     }
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
-    private double risk(double now, Ask ask) {
+    private double risk(double now, RequestState ask) {
         boolean controlled = now - counterToldAt < RELAX_MS;
         return (controlled ? margin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
     }
 
     /** Whether it pays in the mean to let in what the counter is not asked about. */
-    private boolean guess(double now, Ask ask) {
+    private boolean guess(double now, RequestState ask) {
         return chance(ask) > risk(now, ask);
     }
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
-    private void adaptMargin(Ask ask, double chance) {
+    private void adaptMargin(RequestState ask, double chance) {
         excess.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
         double step = excess.costShare() > EXCESS_BOUND ? MARGIN_STEP : 1 / MARGIN_STEP;
         margin = Math.max(1, Math.min(MARGIN_MAX, margin * step));
@@ -473,13 +473,13 @@
     }
 
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
-    private int evidence(double now, Ask ask) {
+    private int evidence(double now, RequestState ask) {
         Customer c = ask.customer;
         double perPeriod = c.plan.rate() * set.coordination().meterPeriodMs() / 1000;
         double metered = now - c.meterAt < recallMs(c.plan) ? (c.usedPct - 1) / 100.0 * perPeriod : 0;
         boolean hot =
                 metered > Math.max(perPeriod, CONCURRENT * set.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(ask.request.retry(), hot, c.verdict(now, recallMs(c.plan)));
+        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.verdict(now, recallMs(c.plan)));
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
@@ -585,9 +585,9 @@
     }
 
     /** Holds a request that the own part has no room for until the whole store is known. */
-    private void askCounter(double now, Ask ask) {
+    private void askCounter(double now, RequestState ask) {
         Customer c = ask.customer;
-        if (now + COUNT_LATE_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
+        if (now + COUNT_LATE_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
             decide(now, ask, false);
             return;
         }
@@ -617,11 +617,11 @@
         else if (told) learnTotal(now, c, total);
         if (outcome.neverRan()) c.unreported += c.calling - c.adjusted;
         if (!told) c.adjusted = 0; // by the next answer it shows whether it is still due
-        List<Ask> asked = c.asking;
+        List<RequestState> asked = c.asking;
         c.asking = List.of();
-        for (Ask ask : asked) decideCounted(now, ask, told);
+        for (RequestState ask : asked) decideCounted(now, ask, told);
         while (!told && !c.pending.isEmpty()) {
-            Ask next = c.pending.poll();
+            RequestState next = c.pending.poll();
             decide(now, next, wide(c) && guess(now, next));
         }
         addUnreported(c, 0);
@@ -638,20 +638,20 @@
     }
 
     /** In a wide set what is let in is counted here; elsewhere it is charged anew. */
-    private void decideCounted(double now, Ask ask, boolean told) {
+    private void decideCounted(double now, RequestState ask, boolean told) {
         Customer c = ask.customer;
-        double units = ask.request.units();
+        double units = ask.details.units();
         boolean room = told ? c.level >= units : wide(c) ? guess(now, ask) : c.tokens >= units;
         if (told) learnRoom(now, ask, room);
-        boolean in = room && !ask.done && openAdmits(now, c);
-        ask.counted = in && wide(c);
-        c.unreported += (ask.counted ? units : 0) - ask.requested;
-        if (told && !room) c.unreported -= ask.sampledWeight; // excess takes nothing
-        if (ask.counted) adaptMargin(ask, told ? 1 : chance(ask));
-        if (!ask.done) decide(now, ask, in);
+        boolean in = room && !ask.closed && openAdmits(now, c);
+        ask.countedInTotal = in && wide(c);
+        c.unreported += (ask.countedInTotal ? units : 0) - ask.requestedUnits;
+        if (told && !room) c.unreported -= ask.sampledUnits; // excess takes nothing
+        if (ask.countedInTotal) adaptMargin(ask, told ? 1 : chance(ask));
+        if (!ask.closed) decide(now, ask, in);
     }
 
-    private void learnRoom(double now, Ask ask, boolean room) {
+    private void learnRoom(double now, RequestState ask, boolean room) {
         Customer c = ask.customer;
         estimates[c.planNumber].record(ask.evidence, room);
         ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
@@ -701,41 +701,42 @@
     // ---- questions to keepers
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void question(double now, Ask ask, int stage) {
+    private void question(double now, RequestState ask, int stage) {
         Customer c = ask.customer;
         int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.gatewayNumber() || now + ANSWER_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
+        if (keeper < 0 || keeper == set.gatewayNumber() || now + ANSWER_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
             c.pending.remove(ask);
-            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
-            decide(now, ask, room && (c.plan.capRate() <= 0 || c.ceiling >= ask.request.units()));
+            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.details.units();
+            decide(now, ask, room && (c.plan.capRate() <= 0 || c.ceiling >= ask.details.units()));
             changed(now, c);
             return;
         }
-        ask.stage = keeper == c.keepers[0] ? 0 : c.keepers.length - 1;
-        ask.keeper = keeper;
-        ask.askSerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
-        ask.answerBy = now + ANSWER_MS;
+        ask.ownerIndex = keeper == c.keepers[0] ? 0 : c.keepers.length - 1;
+        ask.askedOwner = keeper;
+        ask.querySerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
+        ask.answerDueAt = now + ANSWER_MS;
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
         questions.add(ask);
         c.toldAt = now;
         queue(peers[keeper], c);
     }
 
-    private void decide(double now, Ask ask, boolean in) {
+    private void decide(double now, RequestState ask, boolean in) {
         if (in) letIn(now, ask);
         if (in) return;
         close(now, ask);
-        act.refuse(ask.request.id(), retryAfter(now, ask.customer, ask.request.units()), ask.refusal);
+        act.refuse(ask.details.id(), retryAfter(now, ask.customer, ask.details.units()), ask.refusal);
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
     private void missAnswers(double now) {
-        questions.removeIf(a -> a.done || a.admitted);
-        for (Ask ask : questions.stream().filter(a -> now >= a.answerBy).toList()) {
+        questions.removeIf(a -> a.closed || a.admitted);
+        for (RequestState ask :
+                questions.stream().filter(a -> now >= a.answerDueAt).toList()) {
             questions.remove(ask);
-            peers[ask.keeper].silentTill = now + SILENT_MS;
+            peers[ask.askedOwner].silentTill = now + SILENT_MS;
             touch(now, ask.customer);
-            question(now, ask, ask.stage + 1);
+            question(now, ask, ask.ownerIndex + 1);
         }
     }
 
@@ -793,11 +794,11 @@
     }
 
     private PeerMessage.Entry tellOf(double now, Customer c, Peer keeper) {
-        for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
+        for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
-                || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
+                || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
         boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS;
         return new PeerMessage.Entry(
                 false,
@@ -912,8 +913,8 @@
             c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.capUnitsGiven() - m.taken);
             m.taken = e.capUnitsGiven();
         }
-        List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !PeerMessage.isAfter(a.askSerial, mySerial))
+        List<RequestState> judged = c.pending.stream()
+                .filter(a -> a.askedOwner == peer.number && !PeerMessage.isAfter(a.querySerial, mySerial))
                 .toList();
         if (!e.uninformed()) {
             c.others = e.demand();
@@ -923,10 +924,10 @@
             c.level = e.fullness() * c.plan.burst() - PeerMessage.unitsAhead(c.used, e.usedUnits());
         }
         double granted = e.wantedUnits();
-        for (Ask ask : judged) {
-            double units = ask.request.units();
-            if (e.uninformed() && ask.stage + 1 < c.keepers.length) {
-                question(now, ask, ask.stage + 1);
+        for (RequestState ask : judged) {
+            double units = ask.details.units();
+            if (e.uninformed() && ask.ownerIndex + 1 < c.keepers.length) {
+                question(now, ask, ask.ownerIndex + 1);
                 continue;
             }
             c.pending.remove(ask);
@@ -963,12 +964,12 @@
     }
 
     private boolean releaseOne(double now, ClassState c) {
-        for (Ask ask : c.queue.stream().limit(SCAN).toList()) {
+        for (RequestState ask : c.queue.stream().limit(SCAN).toList()) {
             Server s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
             turn = Math.max(turn, c.turn);
-            c.turn += ask.work() / c.weight;
+            c.turn += ask.expectedMs() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
             if (goesOn && c.releasedAt > DecisionState.NEVER) {
                 c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
@@ -980,65 +981,66 @@
         return false;
     }
 
-    private void send(double now, Ask ask, Server s) {
-        Attempt a = new Attempt(ask, s, now, ask.work());
+    private void send(double now, RequestState ask, Server s) {
+        Attempt a = new Attempt(ask, s, now, ask.expectedMs());
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
-            ask.cls.noteDelay(now - ask.arrived, 0);
-            if (ask.customer != null) ask.customer.unsent -= ask.request.units();
+            ask.classState.noteDelay(now - ask.arrivedAt, 0);
+            if (ask.customer != null) ask.customer.unsent -= ask.details.units();
         }
         a.begin();
         watched.add(s);
         inFlight++;
-        act.send(ask.request.id(), s.info.id(), 0);
+        act.send(ask.details.id(), s.info.id(), 0);
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double giveUpAt(Ask ask) {
-        double end = ask.request.deadlineMs() - DEADLINE_MS;
-        if (ask.ran() != null) return end;
-        double aim = ask.cls.spec.goalMs();
-        double useful = ask.cls.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
-        double hold = useful - ask.arrived - FINISH_SHARE * ask.work();
-        return Math.min(end, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
+    private double giveUpAt(RequestState ask) {
+        double end = ask.details.deadlineMs() - DEADLINE_MS;
+        if (ask.firstPossibleRun() != null) return end;
+        double aim = ask.classState.spec.goalMs();
+        double useful = ask.classState.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrivedAt + aim);
+        double hold = useful - ask.arrivedAt - FINISH_SHARE * ask.expectedMs();
+        return Math.min(end, ask.arrivedAt + Math.max(HOLD_SHARE * aim, hold));
     }
 
     private void expire(double now) {
         for (ClassState c : classes.values()) {
-            for (Ask ask : c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
-                c.noteDelay(now - ask.arrived, 0);
+            for (RequestState ask :
+                    c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
+                c.noteDelay(now - ask.arrivedAt, 0);
                 finish(now, ask); // takes it from the queue
             }
         }
     }
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finish(double now, Ask ask) {
-        RequestClass spec = ask.cls.spec;
-        boolean harmless = ask.ran() == null
+    private void finish(double now, RequestState ask) {
+        RequestClass spec = ask.classState.spec;
+        boolean harmless = ask.firstPossibleRun() == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         close(now, ask);
         // A place may be had once what is held now has left.
-        double wait = waitTold(ask.cls.queue.size() * ask.cls.releaseGap);
-        if (harmless) act.refuse(ask.request.id(), wait, Refusal.PLACE);
-        else act.fail(ask.request.id());
+        double wait = waitTold(ask.classState.queue.size() * ask.classState.releaseGap);
+        if (harmless) act.refuse(ask.details.id(), wait, Refusal.PLACE);
+        else act.fail(ask.details.id());
     }
 
-    private void close(double now, Ask ask) {
-        if (!ask.anyOut()) asks.remove(ask.request.id());
-        if (ask.done) return;
-        ask.done = true;
-        ask.cls.queue.remove(ask);
+    private void close(double now, RequestState ask) {
+        if (!ask.hasAttemptInFlight()) asks.remove(ask.details.id());
+        if (ask.closed) return;
+        ask.closed = true;
+        ask.classState.queue.remove(ask);
         Customer c = ask.customer;
         if (c == null) return;
         c.pending.remove(ask);
         if (!ask.admitted) return;
         c.open--;
-        if (ask.attempts.stream().allMatch(a -> a.moot)) { // let in but never sent: the units go back
-            c.unsent += ask.attempts.isEmpty() ? 0 : ask.request.units(); // taken off as it was to leave
-            charge(now, c, -ask.request.units(), -ask.request.units());
-            if (ask.counted) addUnreported(c, -ask.request.units());
+        if (ask.attempts.stream().allMatch(a -> a.neverSent)) { // let in but never sent: the units go back
+            c.unsent += ask.attempts.isEmpty() ? 0 : ask.details.units(); // taken off as it was to leave
+            charge(now, c, -ask.details.units(), -ask.details.units());
+            if (ask.countedInTotal) addUnreported(c, -ask.details.units());
         }
     }
 
@@ -1149,9 +1151,9 @@
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
      * attempts out can tell apart, and where that is all of them, all.
      */
-    private Server pick(double now, Ask ask) {
+    private Server pick(double now, RequestState ask) {
         int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
-        Server best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), draws);
+        Server best = best(now, ask, ownCounts() ? homes : drawn(now, ask.classState, draws), draws);
         return best != null ? best : best(now, ask, usable, usable.size());
     }
 
@@ -1168,11 +1170,11 @@
         return drawn;
     }
 
-    private Server best(double now, Ask ask, Collection<Server> among, int draws) {
+    private Server best(double now, RequestState ask, Collection<Server> among, int draws) {
         Server best = null;
         double bestScore = Double.MAX_VALUE;
         for (Server s : among) {
-            if (!s.open() || !legal(now, ask, ask.ran(), s)) continue;
+            if (!s.open() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
             double ramp = s.ramp(now, set.rules());
             double share = COLD_SAFETY * set.rules().fallMultiple() * ramp;
@@ -1184,27 +1186,27 @@
         return best;
     }
 
-    private double score(double now, Ask ask, Server s) {
-        double doubt = slowness(now, s, ask.cls);
+    private double score(double now, RequestState ask, Server s) {
+        double doubt = slowness(now, s, ask.classState);
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
-            if (a.server == s) doubt *= BAD_ANSWER;
+            if (a.host == s) doubt *= BAD_ANSWER;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.work();
-        return (ask.work() + s.outWork) * doubt / s.ramp(now, set.rules()) + zone;
+        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedMs();
+        return (ask.expectedMs() + s.outWork) * doubt / s.ramp(now, set.rules()) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, Ask ask, Attempt ran, Server s) {
+    private boolean legal(double now, RequestState ask, Attempt ran, Server s) {
         return repeatable(now, ask, ran)
                 && (ran == null
-                        || ask.cls.spec.effect() != Effect.KEYED
-                        || ask.cls.spec.keyScope().dropsSameKeys(s.info, ran.server.info));
+                        || ask.classState.spec.effect() != Effect.KEYED
+                        || ask.classState.spec.keyScope().dropsSameKeys(s.info, ran.host.info));
     }
 
-    private boolean repeatable(double now, Ask ask, Attempt ran) {
-        RequestClass spec = ask.cls.spec;
+    private boolean repeatable(double now, RequestState ask, Attempt ran) {
+        RequestClass spec = ask.classState.spec;
         return ran == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && now < ran.sentAt + windowMs(spec);
@@ -1217,8 +1219,8 @@
                 spec.keyWindowMs() - set.limits().connectTimeoutMs());
     }
 
-    private boolean mayTryAgain(double now, Ask ask) {
-        boolean may = repeatable(now, ask, ask.ran())
+    private boolean mayTryAgain(double now, RequestState ask) {
+        boolean may = repeatable(now, ask, ask.firstPossibleRun())
                 && !ask.streaming
                 && now < giveUpAt(ask)
                 && retryTokens >= 1
@@ -1227,20 +1229,20 @@
         return may;
     }
 
-    private void learn(double now, Ask ask, Attempt a, AttemptResult r) {
-        Server s = a.server;
-        ClassState c = ask.cls;
+    private void learn(double now, RequestState ask, Attempt a, AttemptResult r) {
+        Server s = a.host;
+        ClassState c = ask.classState;
         switch (r.outcome()) {
             case OK -> {
-                s.health.judge(now, r.latencyMs() / Math.max(1, a.work), SLOW_GAIN);
+                s.health.judge(now, r.latencyMs() / Math.max(1, a.expectedMs), SLOW_GAIN);
                 s.of(c).judge(now, 1, FAILED_GAIN);
-                double perUnit = r.latencyMs() / Math.max(0.1, ask.request.units());
+                double perUnit = r.latencyMs() / Math.max(0.1, ask.details.units());
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
                 c.noteDelay(0, r.latencyMs());
                 if (ask.customer != null && set.coordination().postPaid() && r.actualUnits() > 0) {
-                    charge(now, ask.customer, r.actualUnits() - ask.request.units(), 0);
-                    if (ask.counted) addUnreported(ask.customer, r.actualUnits() - ask.request.units());
+                    charge(now, ask.customer, r.actualUnits() - ask.details.units(), 0);
+                    if (ask.countedInTotal) addUnreported(ask.customer, r.actualUnits() - ask.details.units());
                 }
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
@@ -1251,7 +1253,7 @@
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
             latencySum += r.latencyMs(); // a time-out is an answer at least that late
-            baseSum += c.base * ask.request.units();
+            baseSum += c.base * ask.details.units();
             aimShareSum += r.latencyMs() / c.spec.goalMs();
             answers++;
         }
@@ -1261,14 +1263,14 @@
     private void watchHealth(double now) {
         for (Server s : new ArrayList<>(watched)) {
             for (Attempt a : new ArrayList<>(s.out)) {
-                double expected = a.work * Math.max(1, s.health.slowness(now));
+                double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
                 if (a.overdue || now - a.sentAt <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.overdue = true;
-                s.of(a.ask.cls).judge(now, Health.SLOW_MAX, FAILED_GAIN);
-                boolean useful = !a.ask.done && !a.ask.streaming && now + a.work < giveUpAt(a.ask);
-                boolean safe =
-                        a.ask.cls.spec.effect() != Effect.ONCE && set.limits().mayCancel();
-                if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
+                s.of(a.request.classState).judge(now, Health.SLOW_MAX, FAILED_GAIN);
+                boolean useful = !a.request.closed && !a.request.streaming && now + a.expectedMs < giveUpAt(a.request);
+                boolean safe = a.request.classState.spec.effect() != Effect.ONCE
+                        && set.limits().mayCancel();
+                if (useful && safe && retryTokens >= 1) act.cancel(a.request.details.id(), a.number);
             }
         }
     }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -39,7 +39,7 @@
     /** A class's queue, its place in the fair turns, its delay and its slope. */
     static final class ClassState {
         final RequestClass spec;
-        final ArrayDeque<Ask> queue = new ArrayDeque<>();
+        final ArrayDeque<RequestState> queue = new ArrayDeque<>();
         double weight;
         double turn;
         double latencyPerUnit;
@@ -130,7 +130,7 @@
         final int spread;
         final int[] keepers; // gateways of its set, the first in charge
         final Map<Integer, Member> members = new TreeMap<>();
-        final ArrayDeque<Ask> pending = new ArrayDeque<>(); // requests that wait for a keeper's word
+        final ArrayDeque<RequestState> pending = new ArrayDeque<>(); // requests that wait for a keeper's word
         double tokens; // the own bucket
         double level; // the whole store: as a keeper what is booked, else the most that it can hold
         double ceiling;
@@ -165,7 +165,7 @@
         double adjusted; // and by the call under way
         AdmissionEstimate.CounterVerdict verdict =
                 AdmissionEstimate.CounterVerdict.UNKNOWN; // by the counter, when it was asked last
-        List<Ask> asking = List.of(); // requests whose units it carries
+        List<RequestState> asking = List.of(); // requests whose units it carries
 
         Customer(long id, int planNumber, Plan plan, int first, int spread, int[] keepers, double now) {
             this.id = id;
@@ -221,7 +221,7 @@
         /** Units that the call under way adds for the requests that it asks for, and for those that these stand for. */
         double wantedUnits() {
             return asking.stream()
-                    .mapToDouble(a -> a.requested + a.sampledWeight)
+                    .mapToDouble(a -> a.requestedUnits + a.sampledUnits)
                     .sum();
         }
 
@@ -294,7 +294,7 @@
         }
 
         double pendingUnits() {
-            return pending.stream().mapToDouble(a -> a.request.units()).sum();
+            return pending.stream().mapToDouble(a -> a.details.units()).sum();
         }
     }
 
@@ -387,83 +387,83 @@
     }
 
     static final class Attempt {
-        final Ask ask;
+        final RequestState request;
         final int number;
-        final Server server;
+        final Server host;
         final double sentAt;
-        final double work;
-        boolean out = true;
+        final double expectedMs;
+        boolean inFlight = true;
         boolean neverRan;
-        boolean moot; // it never left
+        boolean neverSent; // it never left
         boolean overdue;
 
-        Attempt(Ask ask, Server server, double sentAt, double work) {
-            this.ask = ask;
-            this.number = ask.attempts.size();
-            this.server = server;
+        Attempt(RequestState request, Server host, double sentAt, double expectedMs) {
+            this.request = request;
+            this.number = request.attempts.size();
+            this.host = host;
             this.sentAt = sentAt;
-            this.work = work;
+            this.expectedMs = expectedMs;
         }
 
         void begin() {
-            ask.attempts.add(this);
-            server.out.add(this);
-            server.outWork += work;
+            request.attempts.add(this);
+            host.out.add(this);
+            host.outWork += expectedMs;
         }
 
         void end(Gateway.Outcome outcome) {
-            out = false;
+            inFlight = false;
             neverRan = outcome.neverRan();
-            moot = outcome == Gateway.Outcome.MOOT;
-            server.out.remove(this);
-            server.outWork = server.out.isEmpty() ? 0 : server.outWork - work;
+            neverSent = outcome == Gateway.Outcome.MOOT;
+            host.out.remove(this);
+            host.outWork = host.out.isEmpty() ? 0 : host.outWork - expectedMs;
         }
     }
 
     /** A request held or under way. */
-    static final class Ask {
-        final Request request;
-        final ClassState cls;
+    static final class RequestState {
+        final Request details;
+        final ClassState classState;
         final Customer customer;
-        final double arrived;
+        final double arrivedAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean admitted;
         Gateway.Refusal refusal = Gateway.Refusal.PART; // why, if it is refused
-        double share; // of such requests for which a call is made
+        double callProbability; // of such requests for which a call is made
         int evidence; // what was known of its customer when it came
-        double requested; // units that its call adds for itself
-        double sampledWeight; // and for those that are let in unasked
-        boolean counted; // its own units are in the total
-        boolean done;
+        double requestedUnits; // units that its call adds for itself
+        double sampledUnits; // and for those that are let in unasked
+        boolean countedInTotal; // its own units are in the total
+        boolean closed;
         boolean streaming;
-        int stage; // which of the customer's keepers is asked
-        int keeper; // its number
-        int askSerial; // of the message that asked
-        double answerBy; // when its answer counts as missing
-
-        Ask(Request request, ClassState cls, Customer customer, double arrived) {
-            this.request = request;
-            this.cls = cls;
+        int ownerIndex; // which of the customer's keepers is asked
+        int askedOwner; // its number
+        int querySerial; // of the message that asked
+        double answerDueAt; // when its answer counts as missing
+
+        RequestState(Request details, ClassState classState, Customer customer, double arrivedAt) {
+            this.details = details;
+            this.classState = classState;
             this.customer = customer;
-            this.arrived = arrived;
+            this.arrivedAt = arrivedAt;
         }
 
         double worth() {
-            return cls.spec.worth() * customer.plan.valueFactor() * request.units();
+            return classState.spec.worth() * customer.plan.valueFactor() * details.units();
         }
 
         /** Time that the class's requests of this size have been taking. */
-        double work() {
-            return cls.latencyPerUnit * Math.max(request.units(), 0.1);
+        double expectedMs() {
+            return classState.latencyPerUnit * Math.max(details.units(), 0.1);
         }
 
         /** The first attempt not known never to have run, or null. */
-        Attempt ran() {
+        Attempt firstPossibleRun() {
             return attempts.stream().filter(a -> !a.neverRan).findFirst().orElse(null);
         }
 
-        boolean anyOut() {
-            return attempts.stream().anyMatch(a -> a.out);
+        boolean hasAttemptInFlight() {
+            return attempts.stream().anyMatch(a -> a.inFlight);
         }
     }
 }
