--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -102,14 +102,14 @@
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Long, Customer> customers = new LinkedHashMap<>();
-    private final Map<String, Server> servers = new LinkedHashMap<>();
+    private final Map<String, TrackedHost> servers = new LinkedHashMap<>();
     private final Map<String, RequestState> asks = new LinkedHashMap<>();
     private final ArrayDeque<Peer> outbox = new ArrayDeque<>();
     private final LinkedHashSet<RequestState> questions = new LinkedHashSet<>();
     private final LinkedHashSet<Customer> unreportedCustomers = new LinkedHashSet<>();
-    private final LinkedHashSet<Server> watched = new LinkedHashSet<>();
-    private final List<Server> usable = new ArrayList<>();
-    private final List<Server> homes = new ArrayList<>();
+    private final LinkedHashSet<TrackedHost> watched = new LinkedHashSet<>();
+    private final List<TrackedHost> usable = new ArrayList<>();
+    private final List<TrackedHost> homes = new ArrayList<>();
     private Peer[] peers = new Peer[0];
     private Settings set;
     private Random random;
@@ -168,7 +168,8 @@
         if (kind == HostListKind.FAILED) act.startTimer(RELAX_MS, "watch");
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
-        hosts.forEach(h -> servers.computeIfAbsent(h.id(), id -> new Server(h)).update(h));
+        hosts.forEach(
+                h -> servers.computeIfAbsent(h.id(), id -> new TrackedHost(h)).update(h));
         survey(now);
         release(now);
     }
@@ -220,7 +221,7 @@
         if (!a.inFlight) return;
         a.end(r.outcome());
         inFlight--;
-        if (a.host.out.isEmpty()) watched.remove(a.host);
+        if (a.host.attemptsInFlight.isEmpty()) watched.remove(a.host);
         learn(now, ask, a, r);
         if (r.requestClosed()) {
             close(now, ask);
@@ -965,7 +966,7 @@
 
     private boolean releaseOne(double now, ClassState c) {
         for (RequestState ask : c.queue.stream().limit(SCAN).toList()) {
-            Server s = pick(now, ask);
+            TrackedHost s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
             turn = Math.max(turn, c.turn);
@@ -981,7 +982,7 @@
         return false;
     }
 
-    private void send(double now, RequestState ask, Server s) {
+    private void send(double now, RequestState ask, TrackedHost s) {
         Attempt a = new Attempt(ask, s, now, ask.expectedMs());
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
@@ -1110,8 +1111,8 @@
     // ---- hosts
 
     /** Failures tell of a class on a host, which may serve the others as before; slow answers of the host. */
-    private static double slowness(double now, Server s, ClassState c) {
-        return s.health.slowness(now) * s.of(c).slowness(now);
+    private static double slowness(double now, TrackedHost s, ClassState c) {
+        return s.health.slowness(now) * s.classHealth(c).slowness(now);
     }
 
     @Override
@@ -1122,8 +1123,8 @@
     }
 
     /** A host that drains, or that is taken to be in trouble for every class. */
-    private boolean avoids(double now, Server s) {
-        return !s.open() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= TROUBLED);
+    private boolean avoids(double now, TrackedHost s) {
+        return !s.isEligible() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= TROUBLED);
     }
 
     /** Counts the hosts in use, so that each event needs only look-ups. */
@@ -1131,10 +1132,10 @@
         surveyedAt = now;
         usable.clear();
         capacity = 0;
-        for (Server s : servers.values()) {
-            if (!s.open()) continue;
+        for (TrackedHost s : servers.values()) {
+            if (!s.isEligible()) continue;
             usable.add(s);
-            capacity += s.health.slowness(now) < BAD_ANSWER ? s.ramp(now, set.rules()) : 0;
+            capacity += s.health.slowness(now) < BAD_ANSWER ? s.capacityShare(now, set.rules()) : 0;
         }
         // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
         // each, and tables that do not fill where there are hundreds of gateways.
@@ -1151,9 +1152,9 @@
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
      * attempts out can tell apart, and where that is all of them, all.
      */
-    private Server pick(double now, RequestState ask) {
+    private TrackedHost pick(double now, RequestState ask) {
         int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
-        Server best = best(now, ask, ownCounts() ? homes : drawn(now, ask.classState, draws), draws);
+        TrackedHost best = best(now, ask, ownCounts() ? homes : drawn(now, ask.classState, draws), draws);
         return best != null ? best : best(now, ask, usable, usable.size());
     }
 
@@ -1161,22 +1162,22 @@
         return DRAWS + 2 * inFlight >= homes.size();
     }
 
-    private Collection<Server> drawn(double now, ClassState c, int draws) {
-        LinkedHashSet<Server> drawn = new LinkedHashSet<>();
+    private Collection<TrackedHost> drawn(double now, ClassState c, int draws) {
+        LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
-            Server s = homes.get(random.nextInt(homes.size()));
+            TrackedHost s = homes.get(random.nextInt(homes.size()));
             if (random.nextDouble() * slowness(now, s, c) <= 1) drawn.add(s);
         }
         return drawn;
     }
 
-    private Server best(double now, RequestState ask, Collection<Server> among, int draws) {
-        Server best = null;
+    private TrackedHost best(double now, RequestState ask, Collection<TrackedHost> among, int draws) {
+        TrackedHost best = null;
         double bestScore = Double.MAX_VALUE;
-        for (Server s : among) {
-            if (!s.open() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
+        for (TrackedHost s : among) {
+            if (!s.isEligible() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
-            double ramp = s.ramp(now, set.rules());
+            double ramp = s.capacityShare(now, set.rules());
             double share = COLD_SAFETY * set.rules().fallMultiple() * ramp;
             if (ramp < 1 && random.nextDouble() * draws > share) continue;
             double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
@@ -1186,7 +1187,7 @@
         return best;
     }
 
-    private double score(double now, RequestState ask, Server s) {
+    private double score(double now, RequestState ask, TrackedHost s) {
         double doubt = slowness(now, s, ask.classState);
         if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
@@ -1194,11 +1195,11 @@
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
         double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedMs();
-        return (ask.expectedMs() + s.outWork) * doubt / s.ramp(now, set.rules()) + zone;
+        return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, set.rules()) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, RequestState ask, Attempt ran, Server s) {
+    private boolean legal(double now, RequestState ask, Attempt ran, TrackedHost s) {
         return repeatable(now, ask, ran)
                 && (ran == null
                         || ask.classState.spec.effect() != Effect.KEYED
@@ -1230,12 +1231,12 @@
     }
 
     private void learn(double now, RequestState ask, Attempt a, AttemptResult r) {
-        Server s = a.host;
+        TrackedHost s = a.host;
         ClassState c = ask.classState;
         switch (r.outcome()) {
             case OK -> {
-                s.health.judge(now, r.latencyMs() / Math.max(1, a.expectedMs), SLOW_GAIN);
-                s.of(c).judge(now, 1, FAILED_GAIN);
+                s.health.observe(now, r.latencyMs() / Math.max(1, a.expectedMs), SLOW_GAIN);
+                s.classHealth(c).observe(now, 1, FAILED_GAIN);
                 double perUnit = r.latencyMs() / Math.max(0.1, ask.details.units());
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
@@ -1246,9 +1247,9 @@
                 }
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
-            case CONNECT_FAILED -> s.health.judge(now, Health.SLOW_MAX, 1);
-            case FULL -> s.health.judge(now, BAD_ANSWER, FAILED_GAIN);
-            case ERROR, RESET, TIMEOUT -> s.of(c).judge(now, Health.SLOW_MAX, FAILED_GAIN);
+            case CONNECT_FAILED -> s.health.observe(now, Health.MAX_SLOWNESS, 1);
+            case FULL -> s.health.observe(now, BAD_ANSWER, FAILED_GAIN);
+            case ERROR, RESET, TIMEOUT -> s.classHealth(c).observe(now, Health.MAX_SLOWNESS, FAILED_GAIN);
             default -> {}
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
@@ -1261,12 +1262,12 @@
     }
 
     private void watchHealth(double now) {
-        for (Server s : new ArrayList<>(watched)) {
-            for (Attempt a : new ArrayList<>(s.out)) {
+        for (TrackedHost s : new ArrayList<>(watched)) {
+            for (Attempt a : new ArrayList<>(s.attemptsInFlight)) {
                 double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
                 if (a.overdue || now - a.sentAt <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.overdue = true;
-                s.of(a.request.classState).judge(now, Health.SLOW_MAX, FAILED_GAIN);
+                s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILED_GAIN);
                 boolean useful = !a.request.closed && !a.request.streaming && now + a.expectedMs < giveUpAt(a.request);
                 boolean safe = a.request.classState.spec.effect() != Effect.ONCE
                         && set.limits().mayCancel();
@@ -1280,6 +1281,6 @@
         sweptAt = now;
         unreportedCustomers.removeIf(c -> now - c.touchedAt > FORGET_MS);
         customers.values().removeIf(c -> now - c.touchedAt > FORGET_MS && c.open == 0 && c.pending.isEmpty());
-        servers.values().removeIf(s -> !s.listed && s.out.isEmpty());
+        servers.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
     }
 }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -333,55 +333,57 @@
 
     /** How many times slower than usual a host was last taken to be, and when. */
     static final class Health {
-        static final double SLOW_MAX = 12; // largest slowness that is believed
-        private static final double FADE_MS = 6000; // slowness not confirmed fades: a trial by itself
-        private double slow = 1;
-        private double at;
+        static final double MAX_SLOWNESS = 12; // largest slowness that is believed
+        private static final double DECAY_MS = 6000; // slowness not confirmed fades: a trial by itself
+        private double lastSlowness = 1;
+        private double observedAt;
 
         double slowness(double now) {
-            return 1 + (slow - 1) * Math.exp(-(now - at) / FADE_MS);
+            return 1 + (lastSlowness - 1) * Math.exp(-(now - observedAt) / DECAY_MS);
         }
 
-        void judge(double now, double ratio, double gain) {
-            slow = slowness(now) + gain * (Math.min(SLOW_MAX, ratio) - slowness(now));
-            at = now;
+        void observe(double now, double ratio, double gain) {
+            lastSlowness = slowness(now) + gain * (Math.min(MAX_SLOWNESS, ratio) - slowness(now));
+            observedAt = now;
         }
     }
 
     /** A host as this gateway sees it. */
-    static final class Server {
-        final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
+    static final class TrackedHost {
+        final LinkedHashSet<Attempt> attemptsInFlight = new LinkedHashSet<>();
         Host info;
         boolean listed = true;
-        double outWork;
+        double expectedMsInFlight;
         final Health health = new Health();
-        private final Map<String, Health> byClass = new TreeMap<>();
-        double coldAt = NEVER;
+        private final Map<String, Health> healthByClass = new TreeMap<>();
+        double startedAt = NEVER;
 
-        Server(Host info) {
+        TrackedHost(Host info) {
             this.info = info;
         }
 
-        Health of(ClassState c) {
-            return byClass.computeIfAbsent(c.spec.name(), n -> new Health());
+        Health classHealth(ClassState classState) {
+            return healthByClass.computeIfAbsent(classState.spec.name(), n -> new Health());
         }
 
-        void update(Host told) {
-            info = told;
-            listed = told.state() != HostState.GONE;
-            if (told.startedMs() > 0 && told.startedMs() > coldAt) {
-                coldAt = told.startedMs();
-                health.slow = 1;
+        void update(Host update) {
+            info = update;
+            listed = update.state() != HostState.GONE;
+            if (update.startedMs() > 0 && update.startedMs() > startedAt) {
+                startedAt = update.startedMs();
+                health.lastSlowness = 1;
             }
         }
 
         /** What a host that warms up can do by the rules' figures, as share of a warm one's. */
-        double ramp(double now, Gateway.Rules rules) {
-            double done = (now - coldAt) / Math.max(1, rules.warmWithinMs());
-            return done >= 1 ? 1 : Math.max(0.01, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, done));
+        double capacityShare(double now, Gateway.Rules rules) {
+            double progress = (now - startedAt) / Math.max(1, rules.warmWithinMs());
+            return progress >= 1
+                    ? 1
+                    : Math.max(0.01, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, progress));
         }
 
-        boolean open() {
+        boolean isEligible() {
             return listed && info.state() == HostState.RUNNING;
         }
     }
@@ -389,7 +391,7 @@
     static final class Attempt {
         final RequestState request;
         final int number;
-        final Server host;
+        final TrackedHost host;
         final double sentAt;
         final double expectedMs;
         boolean inFlight = true;
@@ -397,7 +399,7 @@
         boolean neverSent; // it never left
         boolean overdue;
 
-        Attempt(RequestState request, Server host, double sentAt, double expectedMs) {
+        Attempt(RequestState request, TrackedHost host, double sentAt, double expectedMs) {
             this.request = request;
             this.number = request.attempts.size();
             this.host = host;
@@ -407,16 +409,16 @@
 
         void begin() {
             request.attempts.add(this);
-            host.out.add(this);
-            host.outWork += expectedMs;
+            host.attemptsInFlight.add(this);
+            host.expectedMsInFlight += expectedMs;
         }
 
         void end(Gateway.Outcome outcome) {
             inFlight = false;
             neverRan = outcome.neverRan();
             neverSent = outcome == Gateway.Outcome.MOOT;
-            host.out.remove(this);
-            host.outWork = host.out.isEmpty() ? 0 : host.outWork - expectedMs;
+            host.attemptsInFlight.remove(this);
+            host.expectedMsInFlight = host.attemptsInFlight.isEmpty() ? 0 : host.expectedMsInFlight - expectedMs;
         }
     }
 
