--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -101,12 +101,12 @@
     private final Actions act;
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
-    private final Map<Long, Customer> customers = new LinkedHashMap<>();
+    private final Map<Long, CustomerState> customers = new LinkedHashMap<>();
     private final Map<String, TrackedHost> servers = new LinkedHashMap<>();
     private final Map<String, RequestState> asks = new LinkedHashMap<>();
     private final ArrayDeque<Peer> outbox = new ArrayDeque<>();
     private final LinkedHashSet<RequestState> questions = new LinkedHashSet<>();
-    private final LinkedHashSet<Customer> unreportedCustomers = new LinkedHashSet<>();
+    private final LinkedHashSet<CustomerState> unreportedCustomers = new LinkedHashSet<>();
     private final LinkedHashSet<TrackedHost> watched = new LinkedHashSet<>();
     private final List<TrackedHost> usable = new ArrayList<>();
     private final List<TrackedHost> homes = new ArrayList<>();
@@ -180,7 +180,7 @@
         if (cls == null) act.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
-        Customer c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
+        CustomerState c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
         RequestState ask = new RequestState(r, cls, c, now);
         asks.put(r.id(), ask);
         switch (c == null ? Verdict.IN : judge(now, ask)) {
@@ -196,8 +196,8 @@
     private void letIn(double now, RequestState ask) {
         ClassState cls = ask.classState;
         ask.admitted = true;
-        Customer c = ask.customer;
-        if (c != null) c.begin(now);
+        CustomerState c = ask.customer;
+        if (c != null) c.requestAdmitted(now);
         if (c != null) charge(now, c, ask.details.units(), ask.details.units());
         if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
         cls.queue.addLast(ask);
@@ -269,21 +269,21 @@
         COUNT
     }
 
-    private Customer customer(double now, long id, int plan, int first, int spread) {
-        Customer c = customers.get(id);
+    private CustomerState customer(double now, long id, int plan, int first, int spread) {
+        CustomerState c = customers.get(id);
         if (c == null || c.planNumber != plan) {
             Plan p = set.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
             int[] keepers = DecisionState.ranked(id, first, wide, peers.length, KEEPERS);
-            c = new Customer(id, plan, p, first, wide, keepers, now);
-            c.level = p.burst();
-            c.spare = spareHold(c, 1.0 / wide);
+            c = new CustomerState(id, plan, p, first, wide, keepers, now);
+            c.quotaLevel = p.burst();
+            c.spareUnits = spareHold(c, 1.0 / wide);
             // Less than one request is no use, but a free one in each gateway of a wide set is many bursts.
-            c.tokens = wide(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, leastHold(p));
+            c.ownTokens = wide(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, leastHold(p));
             // The ceiling's store starts with what has filled since this gateway started, never with a burst:
             // before a restart this gateway may have spent it (rule 5).
             double filled = (now - startedAt) / 1000 * p.capRate() * ceilingShare(c);
-            c.ceiling = Math.min(ceilingHold(c), filled);
+            c.capTokens = Math.min(ceilingHold(c), filled);
             customers.put(id, c);
         }
         touch(now, c);
@@ -291,35 +291,35 @@
     }
 
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double ceilingShare(Customer c) {
+    private double ceilingShare(CustomerState c) {
         if (c.spread == 1) return 1;
-        return (c.keepers[0] == set.gatewayNumber() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
+        return (c.owners[0] == set.gatewayNumber() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
     }
 
-    private double ceilingHold(Customer c) {
+    private double ceilingHold(CustomerState c) {
         return c.plan.capBurst() * ceilingShare(c);
     }
 
-    private void touch(double now, Customer c) {
-        double s = (now - c.touchedAt) / 1000;
+    private void touch(double now, CustomerState c) {
+        double s = (now - c.refilledAt) / 1000;
         if (s <= 0) return;
-        double fade = Math.exp(-(now - c.touchedAt) / DEMAND_MS);
+        double fade = Math.exp(-(now - c.refilledAt) / DEMAND_MS);
         Plan p = c.plan;
         double part = part(now, c);
         c.demand *= fade;
-        c.others *= fade;
-        c.touchedAt = now;
-        if (!wide(c)) c.lapse(part * p.rate() * s * c.fullness());
-        c.level = Math.min(p.burst(), c.level + p.rate() * s);
+        c.othersDemand *= fade;
+        c.refilledAt = now;
+        if (!wide(c)) c.reduceUnreported(part * p.rate() * s * c.fullness());
+        c.quotaLevel = Math.min(p.burst(), c.quotaLevel + p.rate() * s);
         double left = Math.max(0, p.rate() - othersRate(c)) / processes;
-        c.spare = Math.min(spareHold(c, part), c.spare + left * s);
-        c.tokens = Math.min(Math.max(part * p.burst(), leastHold(p)), c.tokens + part * p.rate() * s);
+        c.spareUnits = Math.min(spareHold(c, part), c.spareUnits + left * s);
+        c.ownTokens = Math.min(Math.max(part * p.burst(), leastHold(p)), c.ownTokens + part * p.rate() * s);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + p.capRate() * ceilingShare(c) * s);
+        c.capTokens = Math.min(ceilingHold(c) - c.unsentUnits, c.capTokens + p.capRate() * ceilingShare(c) * s);
     }
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
-    private double spareHold(Customer c, double part) {
+    private double spareHold(CustomerState c, double part) {
         return c.plan.burst() * (part + (1.0 / processes - part) * SPARE_SHARE);
     }
 
@@ -328,7 +328,7 @@
     }
 
     /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
-    private double othersRate(Customer c) {
+    private double othersRate(CustomerState c) {
         if (c.meterSeconds <= 0) return USUAL_USE * c.plan.rate() * (1 - 1.0 / c.spread);
         return Math.max(0, c.meterTotal - c.meterOwn) / c.meterSeconds;
     }
@@ -338,43 +338,43 @@
      * of their quota, and what one gateway's bucket lacks then lies in the others'. Without a meter that is a
      * guess which all of a set make alike: it is left to the plans whose excess costs little.
      */
-    private boolean spares(Customer c, double units) {
+    private boolean spares(CustomerState c, double units) {
         double unseen = othersRate(c) * METER_LATE_MS / 1000;
         boolean guesses = set.coordination().meterPeriodMs() > 0 || !costly(c.plan);
-        return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spare - unseen >= units;
+        return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double part(double now, Customer c) {
+    private double part(double now, CustomerState c) {
         return partOfAll(now, c) / processes;
     }
 
     /** The part of all processes of this gateway. */
-    private double partOfAll(double now, Customer c) {
+    private double partOfAll(double now, CustomerState c) {
         if (c.spread == 1) return 1;
-        if (!set.limits().peerMessages()) return now - c.meterAt < RELAX_MS ? c.meterPart : 1.0 / c.spread;
-        if (now - c.newsAt > RELAX_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
+        if (!set.limits().peerMessages()) return now - c.meterAt < RELAX_MS ? c.meterShare : 1.0 / c.spread;
+        if (now - c.sharedLevelAt > RELAX_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
         double prior = EVEN_PRIOR * c.plan.rate();
-        return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
+        return (c.demand + prior / c.spread) / (c.demand + c.othersDemand + prior);
     }
 
     /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int keeper(double now, Customer c, int stage) {
-        for (int i = stage; i < c.keepers.length; i++) {
-            int k = c.keepers[i];
-            boolean last = i == c.keepers.length - 1;
+    private int keeper(double now, CustomerState c, int stage) {
+        for (int i = stage; i < c.owners.length; i++) {
+            int k = c.owners[i];
+            boolean last = i == c.owners.length - 1;
             if (k == set.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
         }
-        return c.keepers[0] == set.gatewayNumber() ? set.gatewayNumber() : -1;
+        return c.owners[0] == set.gatewayNumber() ? set.gatewayNumber() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean unsure(double now, Customer c) {
+    private boolean unsure(double now, CustomerState c) {
         return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
     }
 
     private Verdict judge(double now, RequestState ask) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         double units = ask.details.units();
         c.demand += units / DEMAND_MS * 1000;
         Plan p = c.plan;
@@ -382,9 +382,9 @@
         budget.updateMinPrice(set.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
-        if (full || limited && c.level < units) {
+        if (full || limited && c.quotaLevel < units) {
             ask.refusal = full ? Refusal.OPEN : Refusal.QUOTA;
-            if (now - c.toldAt > SYNC_MS) changed(now, c);
+            if (now - c.ownerNotifiedAt > SYNC_MS) changed(now, c);
             return Verdict.OUT;
         }
         if (limited) ask.evidence = evidence(now, ask);
@@ -393,10 +393,10 @@
         int keeper = keeper(now, c, 0);
         boolean room = !limited
                 || keeper == set.gatewayNumber() && asks
-                || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
+                || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_MS)
                 || spares(c, units)
-                || (asks || counts(c)) && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
-        boolean ceiling = p.capRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
+                || (asks || counts(c)) && now - c.sharedLevelAt < FRESH_MS && c.quotaLevel - reserve(now, c) >= units;
+        boolean ceiling = p.capRate() <= 0 || c.capTokens >= units; // rule 5: own units need no peer
         if (room && ceiling) return Verdict.IN;
         ask.requestedUnits = units;
         if (counts(c) && ceiling && draws(now, ask, chance(ask))) return Verdict.COUNT;
@@ -404,13 +404,13 @@
     }
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
-    private boolean partless(Customer c) {
+    private boolean partless(CustomerState c) {
         return !set.limits().peerMessages()
                 && c.plan.burst() / c.spread < set.coordination().maxUnitsPerRequest();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
-    private boolean wide(Customer c) {
+    private boolean wide(CustomerState c) {
         return partless(c) && c.plan.capRate() <= 0 && (set.coordination().hasCounter() || costly(c.plan));
     }
 
@@ -427,11 +427,12 @@
      * drawn: each adds the units of the others that its draw stands for; the total is true in the mean.
      */
     private Verdict judgeWide(double now, RequestState ask) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         double units = ask.details.units();
-        if (!set.coordination().hasCounter()) return c.tokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
+        if (!set.coordination().hasCounter())
+            return c.ownTokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
         boolean in = guess(now, ask);
-        boolean foundEmpty = c.verdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
+        boolean foundEmpty = c.counterVerdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
         if (!in && foundEmpty) return Verdict.OUT; // asked a moment ago
         boolean asks = draws(now, ask, in ? risk(now, ask) : chance(ask));
         if (!asks && in) adaptMargin(ask, chance(ask));
@@ -475,36 +476,39 @@
 
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
     private int evidence(double now, RequestState ask) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         double perPeriod = c.plan.rate() * set.coordination().meterPeriodMs() / 1000;
-        double metered = now - c.meterAt < recallMs(c.plan) ? (c.usedPct - 1) / 100.0 * perPeriod : 0;
+        double metered = now - c.meterAt < recallMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
         boolean hot =
                 metered > Math.max(perPeriod, CONCURRENT * set.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.verdict(now, recallMs(c.plan)));
+        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, recallMs(c.plan)));
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
-    private double reserve(double now, Customer c) {
+    private double reserve(double now, CustomerState c) {
         double cost = c.plan.excessLossRatio();
-        double rate = c.others + WARY * c.plan.rate();
-        return rate * (now - c.newsAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
+        double rate = c.othersDemand + WARY * c.plan.rate();
+        return rate * (now - c.sharedLevelAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
-    private boolean openAdmits(double now, Customer c) {
+    private boolean openAdmits(double now, CustomerState c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.spread == 1
                 || set.limits().peerMessages()
-                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS);
+                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_MS);
         return limit <= 0
-                || (fresh ? c.open + c.othersOpen < limit : c.open < Math.max(1, (int) (limit * part(now, c))));
+                || (fresh
+                        ? c.openRequests + c.othersOpenRequests < limit
+                        : c.openRequests < Math.max(1, (int) (limit * part(now, c))));
     }
 
     /** When the store will have filled enough; every refusal tells a time to come back. */
-    private double retryAfter(double now, Customer c, double units) {
+    private double retryAfter(double now, CustomerState c, double units) {
         if (c.plan.rate() <= 0) return waitTold(0);
-        double store = 1000 * (units - c.level) / c.plan.rate();
-        double bucket = 1000 * (units - c.tokens) / (c.plan.rate() * Math.max(EVEN_PRIOR, part(now, c)));
-        return waitTold(set.limits().peerMessages() || now - c.totalAt < FRESH_MS ? store : Math.max(store, bucket));
+        double store = 1000 * (units - c.quotaLevel) / c.plan.rate();
+        double bucket = 1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_PRIOR, part(now, c)));
+        return waitTold(
+                set.limits().peerMessages() || now - c.counterTotalAt < FRESH_MS ? store : Math.max(store, bucket));
     }
 
     private double waitTold(double ms) {
@@ -513,36 +517,36 @@
     }
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-    private void charge(double now, Customer c, double units, double ceilingUnits) {
-        c.tokens = Math.max(c.tokens - units, -c.plan.burst() / c.spread);
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - units));
-        c.spare -= units;
-        c.used += units;
+    private void charge(double now, CustomerState c, double units, double ceilingUnits) {
+        c.ownTokens = Math.max(c.ownTokens - units, -c.plan.burst() / c.spread);
+        c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - units));
+        c.spareUnits -= units;
+        c.usedUnits += units;
         if (counts(c) && !wide(c)) addUnreported(c, units);
-        c.uses.add(now, units);
-        c.unsent += ceilingUnits;
-        c.ceiling -= ceilingUnits;
+        c.usageHistory.add(now, units);
+        c.unsentUnits += ceilingUnits;
+        c.capTokens -= ceilingUnits;
     }
 
     /**
      * The part follows the own use in the period that the meter tells of. Use of now over a total of long ago
      * would grow by itself: each gateway of the set would see its own share rise until the next figure.
      */
-    private void meter(double now, Customer c, int usedPct) {
+    private void meter(double now, CustomerState c, int usedPct) {
         if (usedPct <= 0 || set.limits().peerMessages() || c.plan.rate() <= 0) return;
         c.meterAt = now;
         double period = set.coordination().meterPeriodMs();
-        if (usedPct == c.usedPct && now - c.partAt < period) return; // told before: it says nothing new
-        c.usedPct = usedPct;
-        double fade = Math.exp(-Math.max(0, now - c.partAt) / DEMAND_MS);
-        c.partAt = now;
+        if (usedPct == c.lastMeterReading && now - c.meterShareAt < period) return; // told before: it says nothing new
+        c.lastMeterReading = usedPct;
+        double fade = Math.exp(-Math.max(0, now - c.meterShareAt) / DEMAND_MS);
+        c.meterShareAt = now;
         c.meterTotal = c.meterTotal * fade + (usedPct - 1) / 100.0 * c.plan.rate() * period / 1000;
         c.meterSeconds = c.meterSeconds * fade + period / 1000;
-        c.meterOwn = c.meterOwn * fade + c.uses.between(now - METER_LATE_MS - period, now - METER_LATE_MS);
+        c.meterOwn = c.meterOwn * fade + c.usageHistory.usedBetween(now - METER_LATE_MS - period, now - METER_LATE_MS);
         double prior = EVEN_PRIOR * c.plan.rate();
         double part = Math.min(1, (c.meterOwn + prior / c.spread) / (c.meterTotal + prior));
         boolean rises = usedPct - 1 < 100 && c.demand > part * c.plan.rate();
-        c.meterPart = rises ? Math.min(1, Math.max(part, c.meterPart) + RAISE) : part;
+        c.meterShare = rises ? Math.min(1, Math.max(part, c.meterShare) + RAISE) : part;
     }
 
     // ---- processes of one gateway
@@ -552,16 +556,16 @@
         double kept = Math.min(1, (double) processes / count); // what is stored goes to new ones evenly
         customers.values().forEach(c -> touch(now, c));
         processes = count;
-        for (Customer c : customers.values()) {
-            c.tokens *= kept;
-            c.spare *= kept;
+        for (CustomerState c : customers.values()) {
+            c.ownTokens *= kept;
+            c.spareUnits *= kept;
         }
     }
 
     @Override
     public List<CustomerSnapshot> snapshotCustomers(double now) {
         customers.values().forEach(c -> touch(now, c));
-        return customers.values().stream().map(Customer::remembered).toList();
+        return customers.values().stream().map(CustomerState::snapshot).toList();
     }
 
     @Override
@@ -569,15 +573,15 @@
         for (CustomerSnapshot r : memory) {
             boolean known = customers.containsKey(r.customer());
             if (known || r.plan() < 0 || r.plan() >= set.plans().size()) continue;
-            Customer c = customer(now, r.customer(), r.plan(), r.first(), r.spread());
-            c.recall(r, processes);
+            CustomerState c = customer(now, r.customer(), r.plan(), r.first(), r.spread());
+            c.restore(r, processes);
         }
     }
 
     // ---- questions to the counter
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
-    private boolean counts(Customer c) {
+    private boolean counts(CustomerState c) {
         return set.coordination().hasCounter()
                 && !set.limits().peerMessages()
                 && c.spread > 1
@@ -587,39 +591,39 @@
 
     /** Holds a request that the own part has no room for until the whole store is known. */
     private void askCounter(double now, RequestState ask) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         if (now + COUNT_LATE_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
             decide(now, ask, false);
             return;
         }
         c.pending.addLast(ask);
-        if (!c.called) callCounter(now, c);
+        if (!c.callInFlight) callCounter(now, c);
     }
 
     /** Adds what was used and what is wanted: of two gateways the second then sees the first one's wish. */
-    private void callCounter(double now, Customer c) {
-        if (wide(c)) c.window = c.windowAt(now, COUNT_LIFE_MS);
+    private void callCounter(double now, CustomerState c) {
+        if (wide(c)) c.counterWindow = c.windowAt(now, COUNT_LIFE_MS);
         c.beginCall(now);
         unreportedCustomers.remove(c);
         budget.recordCall(now);
-        act.addToCounter(c.counter(wide(c)), c.calling, COUNT_LIFE_MS);
+        act.addToCounter(c.counterName(wide(c)), c.callUnits, COUNT_LIFE_MS);
     }
 
     @Override
     public void counterCallEnded(double now, String counter, Outcome outcome, double total) {
-        Customer c = customers.get(Customer.ofCounter(counter));
-        if (c == null || !c.called) return;
+        CustomerState c = customers.get(CustomerState.idOfCounterName(counter));
+        if (c == null || !c.callInFlight) return;
         touch(now, c);
-        c.called = false;
+        c.callInFlight = false;
         boolean told = outcome == Outcome.OK;
-        budget.recordAnswer(now, now - c.calledAt, told);
+        budget.recordAnswer(now, now - c.counterCalledAt, told);
         if (told) counterToldAt = now;
         if (told && wide(c)) learnWindow(now, c, total);
         else if (told) learnTotal(now, c, total);
-        if (outcome.neverRan()) c.unreported += c.calling - c.adjusted;
-        if (!told) c.adjusted = 0; // by the next answer it shows whether it is still due
-        List<RequestState> asked = c.asking;
-        c.asking = List.of();
+        if (outcome.neverRan()) c.unreportedUnits += c.callUnits - c.expiredUnitsInCall;
+        if (!told) c.expiredUnitsInCall = 0; // by the next answer it shows whether it is still due
+        List<RequestState> asked = c.callRequests;
+        c.callRequests = List.of();
         for (RequestState ask : asked) decideCounted(now, ask, told);
         while (!told && !c.pending.isEmpty()) {
             RequestState next = c.pending.poll();
@@ -627,50 +631,50 @@
         }
         addUnreported(c, 0);
         if (!c.pending.isEmpty() || wide(c) && told && worthCalling(now, c)) callCounter(now, c);
-        c.adjusting = 0;
+        c.expiredUnits = 0;
         post(now);
     }
 
     /** What the next call is to add to a customer's count, or to take off it. */
-    private void addUnreported(Customer c, double units) {
-        c.unreported += units;
-        if (c.unreported == 0) unreportedCustomers.remove(c);
+    private void addUnreported(CustomerState c, double units) {
+        c.unreportedUnits += units;
+        if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
         else unreportedCustomers.add(c);
     }
 
     /** In a wide set what is let in is counted here; elsewhere it is charged anew. */
     private void decideCounted(double now, RequestState ask, boolean told) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         double units = ask.details.units();
-        boolean room = told ? c.level >= units : wide(c) ? guess(now, ask) : c.tokens >= units;
+        boolean room = told ? c.quotaLevel >= units : wide(c) ? guess(now, ask) : c.ownTokens >= units;
         if (told) learnRoom(now, ask, room);
         boolean in = room && !ask.closed && openAdmits(now, c);
         ask.countedInTotal = in && wide(c);
-        c.unreported += (ask.countedInTotal ? units : 0) - ask.requestedUnits;
-        if (told && !room) c.unreported -= ask.sampledUnits; // excess takes nothing
+        c.unreportedUnits += (ask.countedInTotal ? units : 0) - ask.requestedUnits;
+        if (told && !room) c.unreportedUnits -= ask.sampledUnits; // excess takes nothing
         if (ask.countedInTotal) adaptMargin(ask, told ? 1 : chance(ask));
         if (!ask.closed) decide(now, ask, in);
     }
 
     private void learnRoom(double now, RequestState ask, boolean room) {
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         estimates[c.planNumber].record(ask.evidence, room);
         ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
-        c.verdict = CounterVerdict.of(room, c.fullness());
+        c.counterVerdict = CounterVerdict.of(room, c.fullness());
     }
 
     /** What is to be put right in a count has a worth too, and waits where calls save more elsewhere. */
-    private boolean worthCalling(double now, Customer c) {
+    private boolean worthCalling(double now, CustomerState c) {
         double each = wide(c) ? GIVE_BACK : c.spread * (1 - c.fullness());
-        double units = Math.min(c.plan.burst(), each * Math.abs(c.unreported) + c.adjusting);
+        double units = Math.min(c.plan.burst(), each * Math.abs(c.unreportedUnits) + c.expiredUnits);
         return units > 0 && budget.hasSavedCall(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
-    private void learnTotal(double now, Customer c, double total) {
-        boolean anew = c.totalAt == DecisionState.NEVER || total < c.total / 2;
-        double others = total - c.calling - (anew ? 0 : c.total);
-        c.learn(now, total, c.level - others);
+    private void learnTotal(double now, CustomerState c, double total) {
+        boolean anew = c.counterTotalAt == DecisionState.NEVER || total < c.counterTotal / 2;
+        double others = total - c.callUnits - (anew ? 0 : c.counterTotal);
+        c.applyCounterTotal(now, total, c.quotaLevel - others);
     }
 
     /**
@@ -678,24 +682,26 @@
      * burst: what is left unused lapses. One call adds that to the count, once it is a burst or more; of two
      * that do so at once the second sees by its answer that it was not needed, and takes it back.
      */
-    private void learnWindow(double now, Customer c, double total) {
-        double seconds = c.inWindowMs(now, COUNT_LIFE_MS) / 1000;
-        double left = c.plan.burst() + c.plan.rate() * seconds - (total - c.wantedUnits());
-        if (c.adjusted > 0 && left < c.plan.burst() - c.adjusted / 2) c.unreported -= c.adjusted;
-        c.adjusted = 0;
+    private void learnWindow(double now, CustomerState c, double total) {
+        double seconds = c.elapsedInWindowMs(now, COUNT_LIFE_MS) / 1000;
+        double left = c.plan.burst() + c.plan.rate() * seconds - (total - c.callRequestUnits());
+        if (c.expiredUnitsInCall > 0 && left < c.plan.burst() - c.expiredUnitsInCall / 2)
+            c.unreportedUnits -= c.expiredUnitsInCall;
+        c.expiredUnitsInCall = 0;
         double lapsed = left - c.plan.burst();
-        c.adjusting = lapsed > OVERFULL * c.plan.burst() ? lapsed : 0;
-        c.learn(now, total, left);
+        c.expiredUnits = lapsed > OVERFULL * c.plan.burst() ? lapsed : 0;
+        c.applyCounterTotal(now, total, left);
     }
 
     /** What was let in by the own part is to be known to the others too, by and by. */
     private void reportUsage(double now) {
         if (unreportedCustomers.isEmpty()) return;
-        for (Customer c : new ArrayList<>(unreportedCustomers)) {
-            boolean ended = wide(c) && c.window != c.windowAt(now, COUNT_LIFE_MS);
-            if (ended) c.unreported = 0; // its name counts no more
-            if (c.unreported == 0) unreportedCustomers.remove(c);
-            else if (!c.called && now - c.calledAt >= COUNT_MS && worthCalling(now, c)) callCounter(now, c);
+        for (CustomerState c : new ArrayList<>(unreportedCustomers)) {
+            boolean ended = wide(c) && c.counterWindow != c.windowAt(now, COUNT_LIFE_MS);
+            if (ended) c.unreportedUnits = 0; // its name counts no more
+            if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
+            else if (!c.callInFlight && now - c.counterCalledAt >= COUNT_MS && worthCalling(now, c))
+                callCounter(now, c);
         }
     }
 
@@ -703,22 +709,22 @@
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
     private void question(double now, RequestState ask, int stage) {
-        Customer c = ask.customer;
-        int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
+        CustomerState c = ask.customer;
+        int keeper = stage < c.owners.length ? keeper(now, c, stage) : -1;
         if (keeper < 0 || keeper == set.gatewayNumber() || now + ANSWER_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
             c.pending.remove(ask);
-            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.details.units();
-            decide(now, ask, room && (c.plan.capRate() <= 0 || c.ceiling >= ask.details.units()));
+            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
+            decide(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
             changed(now, c);
             return;
         }
-        ask.ownerIndex = keeper == c.keepers[0] ? 0 : c.keepers.length - 1;
+        ask.ownerIndex = keeper == c.owners[0] ? 0 : c.owners.length - 1;
         ask.askedOwner = keeper;
         ask.querySerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
         ask.answerDueAt = now + ANSWER_MS;
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
         questions.add(ask);
-        c.toldAt = now;
+        c.ownerNotifiedAt = now;
         queue(peers[keeper], c);
     }
 
@@ -744,19 +750,19 @@
     // ---- tells between gateways
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void changed(double now, Customer c) {
+    private void changed(double now, CustomerState c) {
         if (!set.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
         if (keeper != set.gatewayNumber()) {
-            c.toldAt = now;
+            c.ownerNotifiedAt = now;
             if (keeper >= 0) queue(peers[keeper], c);
-        } else if (now - c.toldAt > SYNC_MS) {
-            c.toldAt = now;
-            IntStream.of(c.keepers).filter(k -> k != set.gatewayNumber()).forEach(k -> queue(peers[k], c));
+        } else if (now - c.ownerNotifiedAt > SYNC_MS) {
+            c.ownerNotifiedAt = now;
+            IntStream.of(c.owners).filter(k -> k != set.gatewayNumber()).forEach(k -> queue(peers[k], c));
         }
     }
 
-    private void queue(Peer peer, Customer told) {
+    private void queue(Peer peer, CustomerState told) {
         if (told != null) peer.tells.add(told);
         if (!peer.waiting) outbox.addLast(peer);
         peer.waiting = true;
@@ -782,9 +788,9 @@
         List<PeerMessage.Entry> entries = new ArrayList<>();
         int room = (TELL_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.serial++;
-        for (LinkedHashSet<Customer> due : List.of(peer.answers, peer.tells)) {
-            for (Iterator<Customer> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
-                Customer c = it.next();
+        for (LinkedHashSet<CustomerState> due : List.of(peer.answers, peer.tells)) {
+            for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
+                CustomerState c = it.next();
                 touch(now, c);
                 entries.add(due == peer.answers ? answer(now, c, peer) : tellOf(now, c, peer));
             }
@@ -794,35 +800,35 @@
                 peer.number, new PeerMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).encode());
     }
 
-    private PeerMessage.Entry tellOf(double now, Customer c, Peer keeper) {
+    private PeerMessage.Entry tellOf(double now, CustomerState c, Peer keeper) {
         for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
-        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.newsAt < FRESH_MS;
+        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_MS;
         return new PeerMessage.Entry(
                 false,
                 asked,
-                c.plan.capRate() > 0 && c.ceiling < want,
+                c.plan.capRate() > 0 && c.capTokens < want,
                 false,
                 view,
                 c.id,
                 c.planNumber,
                 c.first,
                 c.spread,
-                c.used,
+                c.usedUnits,
                 want,
                 c.demand,
                 c.fullness(),
-                c.open,
+                c.openRequests,
                 0);
     }
 
-    private PeerMessage.Entry answer(double now, Customer c, Peer to) {
-        Member m = c.member(to);
+    private PeerMessage.Entry answer(double now, CustomerState c, Peer to) {
+        MemberState m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
-        double others = Math.max(0, c.demand + c.others - theirs);
+        double others = Math.max(0, c.demand + c.othersDemand - theirs);
         return new PeerMessage.Entry(
                 true,
                 false,
@@ -833,12 +839,12 @@
                 c.planNumber,
                 c.first,
                 c.spread,
-                m.booked,
-                m.granted,
+                m.bookedUnits,
+                m.grantedUnits,
                 others,
                 c.fullness(),
-                c.open + c.othersOpen - m.open,
-                m.given);
+                c.openRequests + c.othersOpenRequests - m.openRequests,
+                m.capUnitsGiven);
     }
 
     @Override
@@ -869,34 +875,35 @@
     private void hearTell(double now, Peer peer, PeerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
-        Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
-        if (IntStream.of(c.keepers).noneMatch(k -> k == set.gatewayNumber())) return;
+        CustomerState c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
+        if (IntStream.of(c.owners).noneMatch(k -> k == set.gatewayNumber())) return;
         boolean unsure = unsure(now, c);
         boolean adopts = e.hasLevel() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.level = Math.min(unsure ? c.level : c.plan.burst(), e.fullness() * c.plan.burst());
+            c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fullness() * c.plan.burst());
             c.informed = true;
         }
-        Member m = c.member(peer);
-        c.others = Math.max(0, c.others + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
+        MemberState m = c.member(peer);
+        c.othersDemand =
+                Math.max(0, c.othersDemand + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
         m.demand = e.demand();
         m.demandAt = now;
-        c.othersOpen += e.openRequests() - m.open;
-        m.open = e.openRequests();
-        double spent = m.known && !adopts ? PeerMessage.unitsAhead(e.usedUnits(), m.booked) : 0;
-        m.known = true;
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
+        c.othersOpenRequests += e.openRequests() - m.openRequests;
+        m.openRequests = e.openRequests();
+        double spent = m.hasReported && !adopts ? PeerMessage.unitsAhead(e.usedUnits(), m.bookedUnits) : 0;
+        m.hasReported = true;
+        c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - spent));
         boolean gives = e.cap() && c.plan.capRate() > 0;
         boolean grants = e.wantedUnits() > 0
-                && (c.plan.rate() <= 0 || c.level >= e.wantedUnits())
-                && (!gives || c.ceiling >= e.wantedUnits());
-        m.granted = grants ? e.wantedUnits() : 0;
-        m.booked = e.usedUnits() + m.granted;
-        c.level -= m.granted;
-        if (keeper(now, c, 0) == set.gatewayNumber() && spent + m.granted != 0) changed(now, c);
+                && (c.plan.rate() <= 0 || c.quotaLevel >= e.wantedUnits())
+                && (!gives || c.capTokens >= e.wantedUnits());
+        m.grantedUnits = grants ? e.wantedUnits() : 0;
+        m.bookedUnits = e.usedUnits() + m.grantedUnits;
+        c.quotaLevel -= m.grantedUnits;
+        if (keeper(now, c, 0) == set.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
         if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
-            c.ceiling -= e.wantedUnits();
-            m.given += e.wantedUnits();
+            c.capTokens -= e.wantedUnits();
+            m.capUnitsGiven += e.wantedUnits();
         }
         if (e.replyWanted()) {
             peer.answers.add(c);
@@ -906,36 +913,36 @@
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
     private void hearAnswer(double now, Peer peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
-        Customer c = customers.get(e.customer());
+        CustomerState c = customers.get(e.customer());
         if (c == null || c.planNumber != e.plan() || !toThisLife) return;
         touch(now, c);
-        Member m = c.member(peer);
-        if (e.cap() && e.capUnitsGiven() > m.taken) {
-            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.capUnitsGiven() - m.taken);
-            m.taken = e.capUnitsGiven();
+        MemberState m = c.member(peer);
+        if (e.cap() && e.capUnitsGiven() > m.capUnitsTaken) {
+            c.capTokens = Math.min(ceilingHold(c) - c.unsentUnits, c.capTokens + e.capUnitsGiven() - m.capUnitsTaken);
+            m.capUnitsTaken = e.capUnitsGiven();
         }
         List<RequestState> judged = c.pending.stream()
                 .filter(a -> a.askedOwner == peer.number && !PeerMessage.isAfter(a.querySerial, mySerial))
                 .toList();
         if (!e.uninformed()) {
-            c.others = e.demand();
-            c.othersOpen = e.openRequests();
-            c.newsAt = now;
+            c.othersDemand = e.demand();
+            c.othersOpenRequests = e.openRequests();
+            c.sharedLevelAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burst() - PeerMessage.unitsAhead(c.used, e.usedUnits());
+            c.quotaLevel = e.fullness() * c.plan.burst() - PeerMessage.unitsAhead(c.usedUnits, e.usedUnits());
         }
         double granted = e.wantedUnits();
         for (RequestState ask : judged) {
             double units = ask.details.units();
-            if (e.uninformed() && ask.ownerIndex + 1 < c.keepers.length) {
+            if (e.uninformed() && ask.ownerIndex + 1 < c.owners.length) {
                 question(now, ask, ask.ownerIndex + 1);
                 continue;
             }
             c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.capRate() <= 0 || c.ceiling >= units);
+            boolean in = granted >= units && (c.plan.capRate() <= 0 || c.capTokens >= units);
             granted -= in ? units : 0;
             decide(now, ask, in);
-            int first = c.keepers[0]; // it did not book what another let in
+            int first = c.owners[0]; // it did not book what another let in
             if (in && peer.number != first && first != set.gatewayNumber()) queue(peers[first], c);
         }
     }
@@ -987,7 +994,7 @@
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
             ask.classState.noteDelay(now - ask.arrivedAt, 0);
-            if (ask.customer != null) ask.customer.unsent -= ask.details.units();
+            if (ask.customer != null) ask.customer.unsentUnits -= ask.details.units();
         }
         a.begin();
         watched.add(s);
@@ -1033,13 +1040,13 @@
         if (ask.closed) return;
         ask.closed = true;
         ask.classState.queue.remove(ask);
-        Customer c = ask.customer;
+        CustomerState c = ask.customer;
         if (c == null) return;
         c.pending.remove(ask);
         if (!ask.admitted) return;
-        c.open--;
+        c.openRequests--;
         if (ask.attempts.stream().allMatch(a -> a.neverSent)) { // let in but never sent: the units go back
-            c.unsent += ask.attempts.isEmpty() ? 0 : ask.details.units(); // taken off as it was to leave
+            c.unsentUnits += ask.attempts.isEmpty() ? 0 : ask.details.units(); // taken off as it was to leave
             charge(now, c, -ask.details.units(), -ask.details.units());
             if (ask.countedInTotal) addUnreported(c, -ask.details.units());
         }
@@ -1279,8 +1286,8 @@
     private void sweep(double now) {
         if (now - sweptAt < SWEEP_MS) return;
         sweptAt = now;
-        unreportedCustomers.removeIf(c -> now - c.touchedAt > FORGET_MS);
-        customers.values().removeIf(c -> now - c.touchedAt > FORGET_MS && c.open == 0 && c.pending.isEmpty());
+        unreportedCustomers.removeIf(c -> now - c.refilledAt > FORGET_MS);
+        customers.values().removeIf(c -> now - c.refilledAt > FORGET_MS && c.openRequests == 0 && c.pending.isEmpty());
         servers.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
     }
 }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -93,8 +93,8 @@
     /** What is known of a peer gateway, and what waits to be told to it. */
     static final class Peer {
         final int number;
-        final LinkedHashSet<Customer> tells = new LinkedHashSet<>(); // to it as a keeper
-        final LinkedHashSet<Customer> answers = new LinkedHashSet<>(); // to it by this gateway as a keeper
+        final LinkedHashSet<CustomerState> tells = new LinkedHashSet<>(); // to it as a keeper
+        final LinkedHashSet<CustomerState> answers = new LinkedHashSet<>(); // to it by this gateway as a keeper
         boolean waiting; // stands in the outbox
         boolean met;
         int epoch;
@@ -109,84 +109,84 @@
     }
 
     /** What a gateway of a customer's set and its keeper know of each other; starts anew with either's life. */
-    static final class Member {
+    static final class MemberState {
         int epoch;
-        boolean known;
-        double booked;
-        double granted;
+        boolean hasReported;
+        double bookedUnits;
+        double grantedUnits;
         double demand;
         double demandAt;
-        int open;
-        double given;
-        double taken;
+        int openRequests;
+        double capUnitsGiven;
+        double capUnitsTaken;
     }
 
     /** One customer's stores here; as its keeper, also what the others of its set told. */
-    static final class Customer {
+    static final class CustomerState {
         final long id;
         final int planNumber;
         final Plan plan;
         final int first;
         final int spread;
-        final int[] keepers; // gateways of its set, the first in charge
-        final Map<Integer, Member> members = new TreeMap<>();
+        final int[] owners; // gateways of its set, the first in charge
+        final Map<Integer, MemberState> members = new TreeMap<>();
         final ArrayDeque<RequestState> pending = new ArrayDeque<>(); // requests that wait for a keeper's word
-        double tokens; // the own bucket
-        double level; // the whole store: as a keeper what is booked, else the most that it can hold
-        double ceiling;
-        double touchedAt;
+        double ownTokens; // the own bucket
+        double quotaLevel; // the whole store: as a keeper what is booked, else the most that it can hold
+        double capTokens;
+        double refilledAt;
         double demand;
-        double others; // demand of the other gateways
-        int othersOpen;
-        double used;
-        double unsent; // ceiling units let in whose requests have not left yet
-        double newsAt = NEVER; // when a keeper last told
-        double toldAt = NEVER;
+        double othersDemand; // demand of the other gateways
+        int othersOpenRequests;
+        double usedUnits;
+        double unsentUnits; // ceiling units let in whose requests have not left yet
+        double sharedLevelAt = NEVER; // when a keeper last told
+        double ownerNotifiedAt = NEVER;
         boolean informed; // as a keeper: knows what was used before its start
-        final Trail uses = new Trail();
-        int usedPct; // as last told by the meter
+        final UsageHistory usageHistory = new UsageHistory();
+        int lastMeterReading; // as last told by the meter
         double meterTotal; // what the meter told, and what was used here in the same periods, older ones less
         double meterOwn;
-        double meterPart;
+        double meterShare;
         double meterSeconds; // that the two figures above cover
-        double spare; // the whole store as far as own use and the meter show it
-        double partAt = NEVER; // when the part was last taken from a new figure
+        double spareUnits; // the whole store as far as own use and the meter show it
+        double meterShareAt = NEVER; // when the part was last taken from a new figure
         double meterAt = NEVER;
-        int open;
-        double total; // as last told by the counter
-        double totalAt = NEVER;
-        double letInAt = NEVER;
-        double calledAt = NEVER;
-        double unreported; // units used here that no call has added yet; below nothing: to be given back
-        double calling; // units that the call under way adds
-        boolean called; // a call is under way
-        long window; // by the clock, of the name that it adds to, in a wide set
-        double adjusting; // units that have lapsed unused, to be added by the next call
-        double adjusted; // and by the call under way
-        AdmissionEstimate.CounterVerdict verdict =
+        int openRequests;
+        double counterTotal; // as last told by the counter
+        double counterTotalAt = NEVER;
+        double admittedAt = NEVER;
+        double counterCalledAt = NEVER;
+        double unreportedUnits; // units used here that no call has added yet; below nothing: to be given back
+        double callUnits; // units that the call under way adds
+        boolean callInFlight; // a call is under way
+        long counterWindow; // by the clock, of the name that it adds to, in a wide set
+        double expiredUnits; // units that have lapsed unused, to be added by the next call
+        double expiredUnitsInCall; // and by the call under way
+        AdmissionEstimate.CounterVerdict counterVerdict =
                 AdmissionEstimate.CounterVerdict.UNKNOWN; // by the counter, when it was asked last
-        List<RequestState> asking = List.of(); // requests whose units it carries
+        List<RequestState> callRequests = List.of(); // requests whose units it carries
 
-        Customer(long id, int planNumber, Plan plan, int first, int spread, int[] keepers, double now) {
+        CustomerState(long id, int planNumber, Plan plan, int first, int spread, int[] owners, double now) {
             this.id = id;
             this.planNumber = planNumber;
             this.plan = plan;
             this.first = first;
             this.spread = spread;
-            this.keepers = keepers;
-            this.touchedAt = now;
+            this.owners = owners;
+            this.refilledAt = now;
         }
 
         /** What is known between this gateway and a peer on this customer, new for each life of the peer. */
-        Member member(Peer peer) {
-            Member m = members.get(peer.number);
-            if (m == null || m.epoch != peer.epoch) {
-                othersOpen -= m == null ? 0 : m.open;
-                m = new Member();
-                m.epoch = peer.epoch;
-                members.put(peer.number, m);
+        MemberState member(Peer peer) {
+            MemberState member = members.get(peer.number);
+            if (member == null || member.epoch != peer.epoch) {
+                othersOpenRequests -= member == null ? 0 : member.openRequests;
+                member = new MemberState();
+                member.epoch = peer.epoch;
+                members.put(peer.number, member);
             }
-            return m;
+            return member;
         }
 
         /**
@@ -197,100 +197,100 @@
             return (long) Math.floor((now + Math.floorMod(id, (long) lengthMs)) / lengthMs);
         }
 
-        double inWindowMs(double now, double lengthMs) {
-            return now + Math.floorMod(id, (long) lengthMs) - window * lengthMs;
+        double elapsedInWindowMs(double now, double lengthMs) {
+            return now + Math.floorMod(id, (long) lengthMs) - counterWindow * lengthMs;
         }
 
         /** What the own part filled again while the store stood full is not owed to the count. */
-        void lapse(double units) {
-            if (unreported > 0) unreported = Math.max(0, unreported - units);
+        void reduceUnreported(double units) {
+            if (unreportedUnits > 0) unreportedUnits = Math.max(0, unreportedUnits - units);
         }
 
         /** All that waits to be asked and added goes with one call. */
         void beginCall(double now) {
-            asking = new ArrayList<>(pending);
+            callRequests = new ArrayList<>(pending);
             pending.clear();
-            adjusted = adjusting;
-            adjusting = 0;
-            calling = unreported + adjusted + wantedUnits();
-            unreported = 0;
-            called = true;
-            calledAt = now;
+            expiredUnitsInCall = expiredUnits;
+            expiredUnits = 0;
+            callUnits = unreportedUnits + expiredUnitsInCall + callRequestUnits();
+            unreportedUnits = 0;
+            callInFlight = true;
+            counterCalledAt = now;
         }
 
         /** Units that the call under way adds for the requests that it asks for, and for those that these stand for. */
-        double wantedUnits() {
-            return asking.stream()
+        double callRequestUnits() {
+            return callRequests.stream()
                     .mapToDouble(a -> a.requestedUnits + a.sampledUnits)
                     .sum();
         }
 
         /** A total of the counter and what it shows of the store, from which excess takes nothing. */
-        void learn(double now, double counted, double left) {
-            total = counted;
-            totalAt = newsAt = now;
-            level = Math.max(0, Math.min(plan.burst(), left));
-            spare = Math.min(spare, level);
+        void applyCounterTotal(double now, double newTotal, double newLevel) {
+            counterTotal = newTotal;
+            counterTotalAt = sharedLevelAt = now;
+            quotaLevel = Math.max(0, Math.min(plan.burst(), newLevel));
+            spareUnits = Math.min(spareUnits, quotaLevel);
         }
 
         /** The name at the counter, with its window where it has one. */
-        String counter(boolean windowed) {
-            return "u" + Long.toHexString(id) + (windowed ? "." + window : "");
+        String counterName(boolean withWindow) {
+            return "u" + Long.toHexString(id) + (withWindow ? "." + counterWindow : "");
         }
 
-        static long ofCounter(String name) {
+        static long idOfCounterName(String name) {
             int end = name.indexOf('.') < 0 ? name.length() : name.indexOf('.');
             return Long.parseLong(name, 1, end, 16);
         }
 
-        Gateway.CustomerSnapshot remembered() {
+        Gateway.CustomerSnapshot snapshot() {
             return new Gateway.CustomerSnapshot(
                     id,
                     planNumber,
                     first,
                     spread,
-                    tokens,
-                    level,
-                    spare,
+                    ownTokens,
+                    quotaLevel,
+                    spareUnits,
                     meterTotal,
                     meterOwn,
                     meterSeconds,
-                    meterPart,
+                    meterShare,
                     Math.max(0, meterAt),
-                    total,
-                    Math.max(0, totalAt));
+                    counterTotal,
+                    Math.max(0, counterTotalAt));
         }
 
         /** What one of so many processes of this gateway has of what it remembers. */
-        void recall(Gateway.CustomerSnapshot r, int processes) {
-            tokens = r.tokens() / processes;
-            level = r.level();
-            spare = r.spare() / processes;
-            meterTotal = r.meterTotal();
-            meterOwn = r.meterOwn();
-            meterSeconds = r.meterSeconds();
-            meterPart = r.meterPart();
-            meterAt = r.meterAt() > 0 ? r.meterAt() : NEVER;
-            total = r.total();
-            totalAt = r.totalAt() > 0 ? r.totalAt() : NEVER;
+        void restore(Gateway.CustomerSnapshot remembered, int processes) {
+            ownTokens = remembered.tokens() / processes;
+            quotaLevel = remembered.level();
+            spareUnits = remembered.spare() / processes;
+            meterTotal = remembered.meterTotal();
+            meterOwn = remembered.meterOwn();
+            meterSeconds = remembered.meterSeconds();
+            meterShare = remembered.meterPart();
+            meterAt = remembered.meterAt() > 0 ? remembered.meterAt() : NEVER;
+            counterTotal = remembered.total();
+            counterTotalAt = remembered.totalAt() > 0 ? remembered.totalAt() : NEVER;
         }
 
         /** A request of it is let in. */
-        void begin(double now) {
-            open++;
-            letInAt = now;
+        void requestAdmitted(double now) {
+            openRequests++;
+            admittedAt = now;
         }
 
         /** What this gateway learned of its store itself, as long as that tells of it. */
-        AdmissionEstimate.CounterVerdict verdict(double now, double forMs) {
-            if (now - totalAt < forMs) return verdict;
-            return now - letInAt < forMs
+        AdmissionEstimate.CounterVerdict counterVerdict(double now, double lifetimeMs) {
+            if (now - counterTotalAt < lifetimeMs) return counterVerdict;
+            return now - admittedAt < lifetimeMs
                     ? AdmissionEstimate.CounterVerdict.ADMITTED
                     : AdmissionEstimate.CounterVerdict.UNKNOWN;
         }
 
         double fullness() {
-            return plan.burst() > 0 ? level / plan.burst() : 1;
+            return plan.burst() > 0 ? quotaLevel / plan.burst() : 1;
         }
 
         double pendingUnits() {
@@ -299,33 +299,35 @@
     }
 
     /** What was used in the last few seconds, by slots of time. */
-    static final class Trail {
+    static final class UsageHistory {
         private static final double SLOT_MS = 200;
         private final double[] slots = new double[16];
-        private long newest = Long.MIN_VALUE;
+        private long newestSlot = Long.MIN_VALUE;
 
-        private static long slot(double at) {
+        private static long slotNumber(double at) {
             return (long) Math.floor(at / SLOT_MS);
         }
 
-        private int place(long slot) {
+        private int slotIndex(long slot) {
             return Math.floorMod(slot, slots.length);
         }
 
         void add(double now, double units) {
-            long slot = slot(now);
-            for (long s = Math.max(newest + 1, slot - slots.length + 1); s <= slot; s++) {
-                slots[place(s)] = 0;
+            long slot = slotNumber(now);
+            for (long s = Math.max(newestSlot + 1, slot - slots.length + 1); s <= slot; s++) {
+                slots[slotIndex(s)] = 0;
             }
-            newest = Math.max(newest, slot);
-            slots[place(newest)] += units;
+            newestSlot = Math.max(newestSlot, slot);
+            slots[slotIndex(newestSlot)] += units;
         }
 
         /** The sum from one time to another, to the slot; what is older than the trail is forgotten. */
-        double between(double from, double to) {
+        double usedBetween(double from, double to) {
             double sum = 0;
-            for (long s = Math.max(slot(from), newest - slots.length + 1); s < slot(to) && s <= newest; s++) {
-                sum += slots[place(s)];
+            for (long s = Math.max(slotNumber(from), newestSlot - slots.length + 1);
+                    s < slotNumber(to) && s <= newestSlot;
+                    s++) {
+                sum += slots[slotIndex(s)];
             }
             return Math.max(0, sum);
         }
@@ -426,7 +428,7 @@
     static final class RequestState {
         final Request details;
         final ClassState classState;
-        final Customer customer;
+        final CustomerState customer;
         final double arrivedAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean admitted;
@@ -443,7 +445,7 @@
         int querySerial; // of the message that asked
         double answerDueAt; // when its answer counts as missing
 
-        RequestState(Request details, ClassState classState, Customer customer, double arrivedAt) {
+        RequestState(Request details, ClassState classState, CustomerState customer, double arrivedAt) {
             this.details = details;
             this.classState = classState;
             this.customer = customer;
