--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -104,13 +104,13 @@
     private final Map<Long, CustomerState> customers = new LinkedHashMap<>();
     private final Map<String, TrackedHost> servers = new LinkedHashMap<>();
     private final Map<String, RequestState> asks = new LinkedHashMap<>();
-    private final ArrayDeque<Peer> outbox = new ArrayDeque<>();
+    private final ArrayDeque<PeerState> outbox = new ArrayDeque<>();
     private final LinkedHashSet<RequestState> questions = new LinkedHashSet<>();
     private final LinkedHashSet<CustomerState> unreportedCustomers = new LinkedHashSet<>();
     private final LinkedHashSet<TrackedHost> watched = new LinkedHashSet<>();
     private final List<TrackedHost> usable = new ArrayList<>();
     private final List<TrackedHost> homes = new ArrayList<>();
-    private Peer[] peers = new Peer[0];
+    private PeerState[] peers = new PeerState[0];
     private Settings set;
     private Random random;
     private int epoch;
@@ -141,15 +141,15 @@
         random = new Random(settings.seed());
         startedAt = now;
         epoch = (int) (long) now;
-        peers = new Peer[Math.max(1, settings.gatewayCount())];
-        Arrays.setAll(peers, Peer::new);
+        peers = new PeerState[Math.max(1, settings.gatewayCount())];
+        Arrays.setAll(peers, PeerState::new);
         double worth = settings.classes().stream()
                 .mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth()))
                 .sum();
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
             state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit = state.base =
+            state.latencyPerUnit = state.baselineLatency =
                     c.goalMs() * FIRST_GUESS / settings.coordination().maxUnitsPerRequest();
             classes.put(c.name(), state);
         }
@@ -199,12 +199,12 @@
         CustomerState c = ask.customer;
         if (c != null) c.requestAdmitted(now);
         if (c != null) charge(now, c, ask.details.units(), ask.details.units());
-        if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
+        if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, turn);
         cls.queue.addLast(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
         boolean held = !ask.closed && ask.attempts.isEmpty();
-        if (held && now + cls.queue.size() * cls.releaseGap >= giveUpAt(ask)) finish(now, ask);
+        if (held && now + cls.queue.size() * cls.meanReleaseGap >= giveUpAt(ask)) finish(now, ask);
     }
 
     @Override
@@ -274,7 +274,7 @@
         if (c == null || c.planNumber != plan) {
             Plan p = set.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
-            int[] keepers = DecisionState.ranked(id, first, wide, peers.length, KEEPERS);
+            int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, KEEPERS);
             c = new CustomerState(id, plan, p, first, wide, keepers, now);
             c.quotaLevel = p.burst();
             c.spareUnits = spareHold(c, 1.0 / wide);
@@ -363,7 +363,7 @@
         for (int i = stage; i < c.owners.length; i++) {
             int k = c.owners[i];
             boolean last = i == c.owners.length - 1;
-            if (k == set.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
+            if (k == set.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].unresponsiveUntil) return k;
         }
         return c.owners[0] == set.gatewayNumber() ? set.gatewayNumber() : -1;
     }
@@ -720,7 +720,7 @@
         }
         ask.ownerIndex = keeper == c.owners[0] ? 0 : c.owners.length - 1;
         ask.askedOwner = keeper;
-        ask.querySerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
+        ask.querySerial = peers[keeper].sentSerial + 1; // of the next message: the last one did not ask for it
         ask.answerDueAt = now + ANSWER_MS;
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
         questions.add(ask);
@@ -741,7 +741,7 @@
         for (RequestState ask :
                 questions.stream().filter(a -> now >= a.answerDueAt).toList()) {
             questions.remove(ask);
-            peers[ask.askedOwner].silentTill = now + SILENT_MS;
+            peers[ask.askedOwner].unresponsiveUntil = now + SILENT_MS;
             touch(now, ask.customer);
             question(now, ask, ask.ownerIndex + 1);
         }
@@ -762,10 +762,10 @@
         }
     }
 
-    private void queue(Peer peer, CustomerState told) {
-        if (told != null) peer.tells.add(told);
-        if (!peer.waiting) outbox.addLast(peer);
-        peer.waiting = true;
+    private void queue(PeerState peer, CustomerState told) {
+        if (told != null) peer.dueReports.add(told);
+        if (!peer.queued) outbox.addLast(peer);
+        peer.queued = true;
     }
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
@@ -774,37 +774,38 @@
         mail = Math.min(Math.max(1, rate * MAIL_BURST_MS), mail + (now - mailAt) * rate / 2);
         mailAt = now;
         double gap = Math.min(GAP_MAX_MS, (peers.length - 1) / rate);
-        for (Peer peer : new ArrayList<>(outbox)) {
-            if (now - peer.toldAt < gap || peer.answers.isEmpty() && mail < 1) continue;
-            if (peer.answers.isEmpty()) mail -= 1;
+        for (PeerState peer : new ArrayList<>(outbox)) {
+            if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && mail < 1) continue;
+            if (peer.dueAnswers.isEmpty()) mail -= 1;
             tell(now, peer);
-            if (!peer.tells.isEmpty() || !peer.answers.isEmpty()) continue;
+            if (!peer.dueReports.isEmpty() || !peer.dueAnswers.isEmpty()) continue;
             outbox.remove(peer);
-            peer.waiting = false;
+            peer.queued = false;
         }
     }
 
-    private void tell(double now, Peer peer) {
+    private void tell(double now, PeerState peer) {
         List<PeerMessage.Entry> entries = new ArrayList<>();
         int room = (TELL_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
-        peer.serial++;
-        for (LinkedHashSet<CustomerState> due : List.of(peer.answers, peer.tells)) {
+        peer.sentSerial++;
+        for (LinkedHashSet<CustomerState> due : List.of(peer.dueAnswers, peer.dueReports)) {
             for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
                 CustomerState c = it.next();
                 touch(now, c);
-                entries.add(due == peer.answers ? answer(now, c, peer) : tellOf(now, c, peer));
+                entries.add(due == peer.dueAnswers ? answer(now, c, peer) : tellOf(now, c, peer));
             }
         }
-        peer.toldAt = now;
+        peer.sentAt = now;
         act.sendPeerMessage(
-                peer.number, new PeerMessage(epoch, peer.epoch, peer.serial, peer.heardSerial, entries).encode());
+                peer.number,
+                new PeerMessage(epoch, peer.epoch, peer.sentSerial, peer.receivedSerial, entries).encode());
     }
 
-    private PeerMessage.Entry tellOf(double now, CustomerState c, Peer keeper) {
-        for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.serial;
+    private PeerMessage.Entry tellOf(double now, CustomerState c, PeerState keeper) {
+        for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.sentSerial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number
-                || now < keeper.silentTill
+                || now < keeper.unresponsiveUntil
                 || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
         boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_MS;
         return new PeerMessage.Entry(
@@ -825,7 +826,7 @@
                 0);
     }
 
-    private PeerMessage.Entry answer(double now, CustomerState c, Peer to) {
+    private PeerMessage.Entry answer(double now, CustomerState c, PeerState to) {
         MemberState m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
         double others = Math.max(0, c.demand + c.othersDemand - theirs);
@@ -852,16 +853,17 @@
         PeerMessage tell =
                 from < 0 || from >= peers.length || from == set.gatewayNumber() ? null : PeerMessage.decode(data);
         if (tell == null) return; // unknown sender, or damaged
-        Peer peer = peers[from];
-        boolean sameLife = peer.met && tell.epoch() == peer.epoch;
+        PeerState peer = peers[from];
+        boolean sameLife = peer.heardFrom && tell.epoch() == peer.epoch;
         // Overtaken on the way, told twice, or from before the sender's restart.
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late = sameLife ? !PeerMessage.isAfter(tell.serial(), peer.heardSerial) : tell.epoch() - peer.epoch < 0;
-        if (peer.met && late) return;
-        peer.met = true;
+        boolean late =
+                sameLife ? !PeerMessage.isAfter(tell.serial(), peer.receivedSerial) : tell.epoch() - peer.epoch < 0;
+        if (peer.heardFrom && late) return;
+        peer.heardFrom = true;
         peer.epoch = tell.epoch();
-        peer.heardSerial = tell.serial();
-        peer.silentTill = DecisionState.NEVER;
+        peer.receivedSerial = tell.serial();
+        peer.unresponsiveUntil = DecisionState.NEVER;
         boolean toThisLife = tell.receiverEpoch() == epoch;
         for (PeerMessage.Entry e : tell.entries()) {
             if (e.plan() >= set.plans().size()) continue;
@@ -872,7 +874,7 @@
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, Peer peer, PeerMessage.Entry e) {
+    private void hearTell(double now, PeerState peer, PeerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         CustomerState c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
@@ -906,13 +908,13 @@
             m.capUnitsGiven += e.wantedUnits();
         }
         if (e.replyWanted()) {
-            peer.answers.add(c);
+            peer.dueAnswers.add(c);
             queue(peer, null);
         }
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, Peer peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
+    private void hearAnswer(double now, PeerState peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
         CustomerState c = customers.get(e.customer());
         if (c == null || c.planNumber != e.plan() || !toThisLife) return;
         touch(now, c);
@@ -962,7 +964,7 @@
         while (inFlight < bound) {
             ClassState next = null;
             for (ClassState c : classes.values()) {
-                boolean earlier = next == null || c.turn < next.turn;
+                boolean earlier = next == null || c.virtualTime < next.virtualTime;
                 if (earlier && !c.queue.isEmpty() && !stuck.contains(c)) next = c;
             }
             if (next == null) return;
@@ -976,11 +978,11 @@
             TrackedHost s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
-            turn = Math.max(turn, c.turn);
-            c.turn += ask.expectedMs() / c.weight;
+            turn = Math.max(turn, c.virtualTime);
+            c.virtualTime += ask.expectedMs() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
             if (goesOn && c.releasedAt > DecisionState.NEVER) {
-                c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
+                c.meanReleaseGap += GAP_GAIN * (now - c.releasedAt - c.meanReleaseGap);
             }
             c.releasedAt = goesOn ? now : DecisionState.NEVER;
             send(now, ask, s);
@@ -993,7 +995,7 @@
         Attempt a = new Attempt(ask, s, now, ask.expectedMs());
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
-            ask.classState.noteDelay(now - ask.arrivedAt, 0);
+            ask.classState.recordDelay(now - ask.arrivedAt, 0);
             if (ask.customer != null) ask.customer.unsentUnits -= ask.details.units();
         }
         a.begin();
@@ -1016,7 +1018,7 @@
         for (ClassState c : classes.values()) {
             for (RequestState ask :
                     c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
-                c.noteDelay(now - ask.arrivedAt, 0);
+                c.recordDelay(now - ask.arrivedAt, 0);
                 finish(now, ask); // takes it from the queue
             }
         }
@@ -1030,7 +1032,7 @@
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         close(now, ask);
         // A place may be had once what is held now has left.
-        double wait = waitTold(ask.classState.queue.size() * ask.classState.releaseGap);
+        double wait = waitTold(ask.classState.queue.size() * ask.classState.meanReleaseGap);
         if (harmless) act.refuse(ask.details.id(), wait, Refusal.PLACE);
         else act.fail(ask.details.id());
     }
@@ -1065,7 +1067,7 @@
         }
         latencySum = baseSum = aimShareSum = 0;
         answers = 0;
-        classes.values().forEach(c -> c.drift(BASE_SAMPLES, BASE_DRIFT));
+        classes.values().forEach(c -> c.updateBaseline(BASE_SAMPLES, BASE_DRIFT));
     }
 
     // ---- weights by donation
@@ -1077,7 +1079,7 @@
     private void weighClasses(double now) {
         if (now - delayAt < WEIGHT_TICK_MS) return;
         delayAt = now;
-        classes.values().forEach(c -> c.averageDelay(ALPHA));
+        classes.values().forEach(c -> c.endDelayInterval(ALPHA));
         if (now - donateAt < donateGap) return;
         donateAt = now;
         if (waited) classes.values().forEach(c -> c.measureSlope(goal(c) * EPSILON));
@@ -1091,16 +1093,16 @@
         ClassState worst = null;
         double surplus = 0;
         for (ClassState c : all) {
-            double over = c.delay / goal(c);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.delay / goal(worst))) worst = c;
+            double over = c.meanDelay / goal(c);
+            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / goal(worst))) worst = c;
             surplus += surplus(c);
         }
         if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask = worst.slope > 0 ? (worst.delay - goal(worst)) / worst.slope : WEIGHT_STEP;
+        double ask = worst.delaySlope > 0 ? (worst.meanDelay - goal(worst)) / worst.delaySlope : WEIGHT_STEP;
         double moved = 0;
         for (ClassState c : all) {
             if (surplus(c) <= 0) continue;
-            double clamp = c.slope > 0 ? ((1 - EPSILON) * goal(c) - c.delay) / c.slope : WEIGHT_STEP;
+            double clamp = c.delaySlope > 0 ? ((1 - EPSILON) * goal(c) - c.meanDelay) / c.delaySlope : WEIGHT_STEP;
             double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
             gift = Math.max(0, Math.min(gift, c.weight - WEIGHT_MIN));
             c.weight -= gift;
@@ -1111,8 +1113,8 @@
     }
 
     private static double surplus(ClassState c) {
-        if (c.delay > (1 - EPSILON) * goal(c)) return 0;
-        return (goal(c) - c.delay) / (c.slope > 0 ? c.slope : goal(c));
+        if (c.meanDelay > (1 - EPSILON) * goal(c)) return 0;
+        return (goal(c) - c.meanDelay) / (c.delaySlope > 0 ? c.delaySlope : goal(c));
     }
 
     // ---- hosts
@@ -1247,7 +1249,7 @@
                 double perUnit = r.latencyMs() / Math.max(0.1, ask.details.units());
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
-                c.noteDelay(0, r.latencyMs());
+                c.recordDelay(0, r.latencyMs());
                 if (ask.customer != null && set.coordination().postPaid() && r.actualUnits() > 0) {
                     charge(now, ask.customer, r.actualUnits() - ask.details.units(), 0);
                     if (ask.countedInTotal) addUnreported(ask.customer, r.actualUnits() - ask.details.units());
@@ -1261,7 +1263,7 @@
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
             latencySum += r.latencyMs(); // a time-out is an answer at least that late
-            baseSum += c.base * ask.details.units();
+            baseSum += c.baselineLatency * ask.details.units();
             aimShareSum += r.latencyMs() / c.spec.goalMs();
             answers++;
         }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -21,19 +21,19 @@
     private DecisionState() {}
 
     /** The gateways of a set that stand first by the hash of a thing: each gateway finds the same by itself. */
-    static int[] ranked(long thing, int first, int spread, int gateways, int count) {
+    static int[] rankGateways(long key, int first, int spread, int gateways, int count) {
         return IntStream.range(first, first + spread)
                 .map(g -> Math.floorMod(g, gateways))
                 .boxed()
-                .sorted(Comparator.comparingLong(g -> mixed(thing * 31 + mixed(g))))
+                .sorted(Comparator.comparingLong(g -> mixHash(key * 31 + mixHash(g))))
                 .limit(count)
                 .mapToInt(g -> g)
                 .toArray();
     }
 
-    private static long mixed(long x) {
-        long h = (x ^ x >>> 32) * 0x9E3779B97F4A7C15L;
-        return (h ^ h >>> 29) * 0xBF58476D1CE4E5B9L ^ h >>> 32;
+    private static long mixHash(long value) {
+        long hash = (value ^ value >>> 32) * 0x9E3779B97F4A7C15L;
+        return (hash ^ hash >>> 29) * 0xBF58476D1CE4E5B9L ^ hash >>> 32;
     }
 
     /** A class's queue, its place in the fair turns, its delay and its slope. */
@@ -41,69 +41,70 @@
         final RequestClass spec;
         final ArrayDeque<RequestState> queue = new ArrayDeque<>();
         double weight;
-        double turn;
+        double virtualTime;
         double latencyPerUnit;
-        double base;
+        double baselineLatency;
         int samples;
         double releasedAt = NEVER;
-        double releaseGap;
-        double delay;
-        double tickDelay;
-        int tickCount;
-        double slope; // magnitude: delay lost for each unit of weight gained; 0 = not known yet
-        double markDelay;
-        double markWeight;
+        double meanReleaseGap;
+        double meanDelay;
+        double intervalDelaySum;
+        int intervalCount;
+        double delaySlope; // magnitude: delay lost for each unit of weight gained; 0 = not known yet
+        double previousDelay;
+        double previousWeight;
 
         ClassState(RequestClass spec) {
             this.spec = spec;
         }
 
-        void noteDelay(double holdMs, double latencyMs) {
-            tickDelay += holdMs + latencyMs;
-            tickCount += latencyMs > 0 ? 0 : 1;
+        void recordDelay(double holdMs, double latencyMs) {
+            intervalDelaySum += holdMs + latencyMs;
+            intervalCount += latencyMs > 0 ? 0 : 1;
         }
 
         /** The base of the latency holds from so many samples on, and drifts up to what lasts. */
-        void drift(int held, double growth) {
-            base = Math.min(samples < held ? latencyPerUnit : base * growth, latencyPerUnit);
+        void updateBaseline(int minSamples, double growth) {
+            baselineLatency =
+                    Math.min(samples < minSamples ? latencyPerUnit : baselineLatency * growth, latencyPerUnit);
         }
 
         /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
         void measureSlope(double leastMagnitude) {
-            double moved = weight - markWeight;
-            if (markWeight > 0 && Math.abs(moved) > 1e-6) {
-                double magnitude = -(delay - markDelay) / moved;
-                if (magnitude > leastMagnitude) slope = magnitude;
+            double moved = weight - previousWeight;
+            if (previousWeight > 0 && Math.abs(moved) > 1e-6) {
+                double magnitude = -(meanDelay - previousDelay) / moved;
+                if (magnitude > leastMagnitude) delaySlope = magnitude;
             }
-            markWeight = weight;
-            markDelay = delay;
+            previousWeight = weight;
+            previousDelay = meanDelay;
         }
 
         /** Ends a tick; {@code alpha} is the weight of the ticks before. */
-        void averageDelay(double alpha) {
-            if (tickCount > 0) {
-                double mean = tickDelay / tickCount;
-                delay = delay == 0 ? mean : alpha * delay + (1 - alpha) * mean;
+        void endDelayInterval(double alpha) {
+            if (intervalCount > 0) {
+                double mean = intervalDelaySum / intervalCount;
+                meanDelay = meanDelay == 0 ? mean : alpha * meanDelay + (1 - alpha) * mean;
             }
-            tickDelay = 0;
-            tickCount = 0;
+            intervalDelaySum = 0;
+            intervalCount = 0;
         }
     }
 
     /** What is known of a peer gateway, and what waits to be told to it. */
-    static final class Peer {
+    static final class PeerState {
         final int number;
-        final LinkedHashSet<CustomerState> tells = new LinkedHashSet<>(); // to it as a keeper
-        final LinkedHashSet<CustomerState> answers = new LinkedHashSet<>(); // to it by this gateway as a keeper
-        boolean waiting; // stands in the outbox
-        boolean met;
+        final LinkedHashSet<CustomerState> dueReports = new LinkedHashSet<>(); // to it as a keeper
+        final LinkedHashSet<CustomerState> dueAnswers = new LinkedHashSet<>(); // to it by this gateway as a keeper
+        boolean queued; // stands in the outbox
+        boolean heardFrom;
         int epoch;
-        int serial; // of the last message to it
-        int heardSerial;
-        double toldAt = NEVER;
-        double silentTill = NEVER;
+        int sentSerial; // of the last message to it
+        int receivedSerial;
+        double sentAt = NEVER;
+        double unresponsiveUntil = NEVER;
 
-        Peer(int number) {
+        PeerState(int number) {
             this.number = number;
         }
     }
@@ -178,7 +179,7 @@
         }
 
         /** What is known between this gateway and a peer on this customer, new for each life of the peer. */
-        MemberState member(Peer peer) {
+        MemberState member(PeerState peer) {
             MemberState member = members.get(peer.number);
             if (member == null || member.epoch != peer.epoch) {
                 othersOpenRequests -= member == null ? 0 : member.openRequests;
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -30,8 +30,8 @@
     private static ClassState state(RequestClass spec, double weight, double delay, double slope) {
         ClassState c = new ClassState(spec);
         c.weight = weight;
-        c.delay = delay;
-        c.slope = slope;
+        c.meanDelay = delay;
+        c.delaySlope = slope;
         return c;
     }
 
@@ -70,14 +70,14 @@
     @Test
     void aBadSlopeKeepsTheLastGoodOne() {
         ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
-        c.markWeight = 0.4;
-        c.markDelay = 700; // more weight, more delay: the wrong sign
+        c.previousWeight = 0.4;
+        c.previousDelay = 700; // more weight, more delay: the wrong sign
         c.measureSlope(DecisionModule.goal(c) * 0.1);
-        assertEquals(1234, c.slope);
+        assertEquals(1234, c.delaySlope);
         c.weight = 0.6;
-        c.delay = 500;
+        c.meanDelay = 500;
         c.measureSlope(DecisionModule.goal(c) * 0.1);
-        assertEquals(3000, c.slope, 1e-6);
+        assertEquals(3000, c.delaySlope, 1e-6);
     }
 
     @Test
--- a/src/test/java/deckfall/GuardsTest.java
+++ b/src/test/java/deckfall/GuardsTest.java
@@ -141,7 +141,7 @@
 
     @Test
     void theCeilingIsAnEvenPartAndARestartBringsNoBurst() {
-        int me = DecisionState.ranked(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
+        int me = DecisionState.rankGateways(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
         double spent = 0;
         for (int life = 0; life < 4; life++) {
             FakeGateway g = new FakeGateway(1000 + life * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
--- a/src/test/java/deckfall/PartsTest.java
+++ b/src/test/java/deckfall/PartsTest.java
@@ -130,7 +130,7 @@
         gateways(60);
         pass(100);
         flood(4, 5, 6, 7);
-        int keeper = DecisionState.ranked(42, 0, 60, 60, 2)[0];
+        int keeper = DecisionState.rankGateways(42, 0, 60, 60, 2)[0];
         double now = all.get(keeper).now;
         all.set(keeper, new FakeGateway(now, FakeGateway.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
         double after = flood(4, 5, 6, 7);
@@ -140,7 +140,7 @@
     @Test
     void aTellIsTakenOnceAndOnlyFromASetThatCanBe() {
         gateways(3);
-        int keeper = DecisionState.ranked(42, 0, 3, 3, 2)[0];
+        int keeper = DecisionState.rankGateways(42, 0, 3, 3, 2)[0];
         int member = keeper == 0 ? 1 : 0;
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
@@ -177,7 +177,7 @@
     @Test
     void withItsKeepersSilentAGatewayHasTheEvenSplit() {
         gateways(4);
-        int[] keepers = DecisionState.ranked(42, 0, 4, 4, 2);
+        int[] keepers = DecisionState.rankGateways(42, 0, 4, 4, 2);
         int member = IntStream.range(0, 4)
                 .filter(g -> g != keepers[0] && g != keepers[1])
                 .findFirst()
