--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -13,43 +13,46 @@
 public final class DecisionModule implements Gateway.Events {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
-    private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
-    private static final double FORGET_MS = 60_000; // a store idle this long is full again
+    private static final double SWEEP_INTERVAL_MS = 5000; // how often customers and hosts long gone are forgotten
+    private static final double IDLE_EXPIRY_MS = 60_000; // a store idle this long is full again
     // Admission by parts
-    private static final double DEMAND_MS = 2000; // averaging of demand: longer than gaps between requests
-    private static final double EVEN_PRIOR = 0.05; // of the rate, added to a set's demand: all have a part
-    private static final double RAISE = 0.1; // of all, by each new figure that leaves room for unmet demand
-    private static final double FRESH_MS = 1000; // a keeper's word this old no longer lets in without asking
-    private static final double RELAX_MS = 3000; // and from here on the part is the even one
-    private static final double LAG_MS = 60; // a told figure's age on arrival: half a gap and the way
-    private static final double METER_LATE_MS = 860; // mean age of a period's figure when it is first told
-    private static final double USUAL_USE = 0.5; // of the rate, by a customer that the meter has not told of
-    private static final double SPARE_SHARE = 0.5; // of what the others hold, that may be free
-    private static final double WARY = 0.6; // of the rate: what others may use unseen beside their demand
+    private static final double DEMAND_AVERAGING_MS = 2000; // averaging of demand: longer than gaps between requests
+    private static final double EVEN_SHARE_PRIOR = 0.05; // of the rate, added to a set's demand: all have a part
+    private static final double SHARE_RAISE_STEP = 0.1; // of all, by each new figure that leaves room for unmet demand
+    private static final double FRESH_LEVEL_MS = 1000; // a keeper's word this old no longer lets in without asking
+    private static final double STALE_LEVEL_MS = 3000; // and from here on the part is the even one
+    private static final double REPORT_LAG_MS = 60; // a told figure's age on arrival: half a gap and the way
+    private static final double METER_LAG_MS = 860; // mean age of a period's figure when it is first told
+    private static final double ASSUMED_USE_SHARE = 0.5; // of the rate, by a customer that the meter has not told of
+    private static final double OTHERS_FREE_SHARE = 0.5; // of what the others hold, that may be free
+    private static final double UNSEEN_USE_SHARE = 0.6; // of the rate: what others may use unseen beside their demand
     // Admission in a set so wide that no part holds a request
-    private static final double OVERFULL = 1; // bursts beyond the store from which a count is put right
-    private static final double RECALL_BURSTS = 2; // bursts' times for which an answer tells of more
-    private static final double EXCESS_BOUND = 0.03; // of the worth let in, that excess is expected to cost
+    private static final double MIN_LAPSED_BURSTS = 1; // bursts beyond the store from which a count is put right
+    private static final double EVIDENCE_BURSTS = 2; // bursts' times for which an answer tells of more
+    private static final double MAX_EXCESS_COST_SHARE = 0.03; // of the worth let in, that excess is expected to cost
     private static final double MARGIN_STEP = 1.05; // growth with a request let in above that bound
     private static final double MARGIN_START = 4; // what a guess has to pay, in times of its expected cost
     private static final double MARGIN_MAX = 5;
-    private static final double CONCURRENT = 1.5; // units in a metered period that may be one gateway's own
-    private static final double GIVE_BACK = 0.3; // of a unit's worth, saved by the call that puts it right
-    private static final double WORTH_GAIN = 0.02; // weight of one request in the mean worth
+    private static final double OWN_USE_REQUESTS = 1.5; // units in a metered period that may be one gateway's own
+    private static final double CORRECTION_WORTH_SHARE = 0.3; // of a unit's worth, saved by the call that puts it right
+    private static final double MEAN_WORTH_GAIN = 0.02; // weight of one request in the mean worth
     // Keepers and tells
-    private static final double RETRY_MIN_MS = TICK_MS; // shortest wait that a refusal tells
-    private static final int KEEPERS = 2; // gateways of a set that keep its books: one may be down
-    private static final double ANSWER_MS = 150; // a due answer is missing after so long
-    private static final double SILENT_MS = 1000; // a peer that missed an answer is not asked so long
-    private static final double MAIL_SHARE = 0.8; // share of the intake that is used: bursts fit in the rest
-    private static final double MAIL_BURST_MS = 150; // time's worth of mail that may leave at once
-    private static final double GAP_MAX_MS = 50; // longest of the shortest gaps between messages to a peer
-    private static final double SYNC_MS = 300; // how often a keeper tells the other keeper of a customer
-    private static final int TELL_BYTES = 256; // largest message
-    private static final double OWNER_SHARE = 0.5; // of a ceiling, held by the first keeper; the rest evenly
-    private static final double COUNT_MS = 500; // how often a customer's use is added to the counter, unasked
-    private static final double COUNT_LIFE_MS = 60_000; // of a name
-    private static final double COUNT_LATE_MS = 150; // time that a request must have left for an answer
+    private static final double MIN_RETRY_AFTER_MS = TICK_MS; // shortest wait that a refusal tells
+    private static final int OWNER_COUNT = 2; // gateways of a set that keep its books: one may be down
+    private static final double OWNER_ANSWER_TIMEOUT_MS = 150; // a due answer is missing after so long
+    private static final double UNRESPONSIVE_MS = 1000; // a peer that missed an answer is not asked so long
+    private static final double PEER_MESSAGE_RATE_SHARE =
+            0.8; // share of the intake that is used: bursts fit in the rest
+    private static final double PEER_MESSAGE_BURST_MS = 150; // time's worth of mail that may leave at once
+    private static final double MAX_PEER_MESSAGE_GAP_MS = 50; // longest of the shortest gaps between messages to a peer
+    private static final double OWNER_SYNC_INTERVAL_MS = 300; // how often a keeper tells the other keeper of a customer
+    private static final int MAX_PEER_MESSAGE_BYTES = 256; // largest message
+    private static final double PRIMARY_OWNER_CAP_SHARE =
+            0.5; // of a ceiling, held by the first keeper; the rest evenly
+    private static final double COUNTER_REPORT_INTERVAL_MS =
+            500; // how often a customer's use is added to the counter, unasked
+    private static final double COUNTER_LIFETIME_MS = 60_000; // of a name
+    private static final double COUNTER_CALL_ALLOWANCE_MS = 150; // time that a request must have left for an answer
     // Release
     private static final double CHANCE = 0.7; // places beyond the even ones, in roots of them: for bursts
     private static final double BOUND_START = 6; // attempts out a host at first, by all gateways
@@ -96,7 +99,7 @@
     private static final double RETRY_SHARE = 0.2; // further attempts earned by each first one
     private static final double RETRY_MAX = 20; // most further attempts saved up
     private static final double WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
-    private static final double DEADLINE_MS = 40; // refuse or fail this long before a deadline: two beats
+    private static final double DEADLINE_MARGIN_MS = 40; // refuse or fail this long before a deadline: two beats
 
     private final Actions act;
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
@@ -165,7 +168,7 @@
 
     @Override
     public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
-        if (kind == HostListKind.FAILED) act.startTimer(RELAX_MS, "watch");
+        if (kind == HostListKind.FAILED) act.startTimer(STALE_LEVEL_MS, "watch");
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
         hosts.forEach(
@@ -274,7 +277,7 @@
         if (c == null || c.planNumber != plan) {
             Plan p = set.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
-            int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, KEEPERS);
+            int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, OWNER_COUNT);
             c = new CustomerState(id, plan, p, first, wide, keepers, now);
             c.quotaLevel = p.burst();
             c.spareUnits = spareHold(c, 1.0 / wide);
@@ -293,7 +296,8 @@
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
     private double ceilingShare(CustomerState c) {
         if (c.spread == 1) return 1;
-        return (c.owners[0] == set.gatewayNumber() ? OWNER_SHARE : 0) + (1 - OWNER_SHARE) / c.spread;
+        return (c.owners[0] == set.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
+                + (1 - PRIMARY_OWNER_CAP_SHARE) / c.spread;
     }
 
     private double ceilingHold(CustomerState c) {
@@ -303,7 +307,7 @@
     private void touch(double now, CustomerState c) {
         double s = (now - c.refilledAt) / 1000;
         if (s <= 0) return;
-        double fade = Math.exp(-(now - c.refilledAt) / DEMAND_MS);
+        double fade = Math.exp(-(now - c.refilledAt) / DEMAND_AVERAGING_MS);
         Plan p = c.plan;
         double part = part(now, c);
         c.demand *= fade;
@@ -320,7 +324,7 @@
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
     private double spareHold(CustomerState c, double part) {
-        return c.plan.burst() * (part + (1.0 / processes - part) * SPARE_SHARE);
+        return c.plan.burst() * (part + (1.0 / processes - part) * OTHERS_FREE_SHARE);
     }
 
     private double leastHold(Plan p) {
@@ -329,7 +333,7 @@
 
     /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
     private double othersRate(CustomerState c) {
-        if (c.meterSeconds <= 0) return USUAL_USE * c.plan.rate() * (1 - 1.0 / c.spread);
+        if (c.meterSeconds <= 0) return ASSUMED_USE_SHARE * c.plan.rate() * (1 - 1.0 / c.spread);
         return Math.max(0, c.meterTotal - c.meterOwn) / c.meterSeconds;
     }
 
@@ -339,7 +343,7 @@
      * guess which all of a set make alike: it is left to the plans whose excess costs little.
      */
     private boolean spares(CustomerState c, double units) {
-        double unseen = othersRate(c) * METER_LATE_MS / 1000;
+        double unseen = othersRate(c) * METER_LAG_MS / 1000;
         boolean guesses = set.coordination().meterPeriodMs() > 0 || !costly(c.plan);
         return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
     }
@@ -352,9 +356,9 @@
     /** The part of all processes of this gateway. */
     private double partOfAll(double now, CustomerState c) {
         if (c.spread == 1) return 1;
-        if (!set.limits().peerMessages()) return now - c.meterAt < RELAX_MS ? c.meterShare : 1.0 / c.spread;
-        if (now - c.sharedLevelAt > RELAX_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
-        double prior = EVEN_PRIOR * c.plan.rate();
+        if (!set.limits().peerMessages()) return now - c.meterAt < STALE_LEVEL_MS ? c.meterShare : 1.0 / c.spread;
+        if (now - c.sharedLevelAt > STALE_LEVEL_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
+        double prior = EVEN_SHARE_PRIOR * c.plan.rate();
         return (c.demand + prior / c.spread) / (c.demand + c.othersDemand + prior);
     }
 
@@ -376,15 +380,15 @@
     private Verdict judge(double now, RequestState ask) {
         CustomerState c = ask.customer;
         double units = ask.details.units();
-        c.demand += units / DEMAND_MS * 1000;
+        c.demand += units / DEMAND_AVERAGING_MS * 1000;
         Plan p = c.plan;
-        meanWorth += WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
+        meanWorth += MEAN_WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
         budget.updateMinPrice(set.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
         if (full || limited && c.quotaLevel < units) {
             ask.refusal = full ? Refusal.OPEN : Refusal.QUOTA;
-            if (now - c.ownerNotifiedAt > SYNC_MS) changed(now, c);
+            if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) changed(now, c);
             return Verdict.OUT;
         }
         if (limited) ask.evidence = evidence(now, ask);
@@ -393,9 +397,11 @@
         int keeper = keeper(now, c, 0);
         boolean room = !limited
                 || keeper == set.gatewayNumber() && asks
-                || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_MS)
+                || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_LEVEL_MS)
                 || spares(c, units)
-                || (asks || counts(c)) && now - c.sharedLevelAt < FRESH_MS && c.quotaLevel - reserve(now, c) >= units;
+                || (asks || counts(c))
+                        && now - c.sharedLevelAt < FRESH_LEVEL_MS
+                        && c.quotaLevel - reserve(now, c) >= units;
         boolean ceiling = p.capRate() <= 0 || c.capTokens >= units; // rule 5: own units need no peer
         if (room && ceiling) return Verdict.IN;
         ask.requestedUnits = units;
@@ -454,7 +460,7 @@
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
     private double risk(double now, RequestState ask) {
-        boolean controlled = now - counterToldAt < RELAX_MS;
+        boolean controlled = now - counterToldAt < STALE_LEVEL_MS;
         return (controlled ? margin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
     }
 
@@ -466,12 +472,12 @@
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
     private void adaptMargin(RequestState ask, double chance) {
         excess.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
-        double step = excess.costShare() > EXCESS_BOUND ? MARGIN_STEP : 1 / MARGIN_STEP;
+        double step = excess.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
         margin = Math.max(1, Math.min(MARGIN_MAX, margin * step));
     }
 
     private static double recallMs(Plan p) {
-        return RECALL_BURSTS * 1000 * p.burst() / p.rate();
+        return EVIDENCE_BURSTS * 1000 * p.burst() / p.rate();
     }
 
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
@@ -479,23 +485,23 @@
         CustomerState c = ask.customer;
         double perPeriod = c.plan.rate() * set.coordination().meterPeriodMs() / 1000;
         double metered = now - c.meterAt < recallMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
-        boolean hot =
-                metered > Math.max(perPeriod, CONCURRENT * set.coordination().maxUnitsPerRequest());
+        boolean hot = metered
+                > Math.max(perPeriod, OWN_USE_REQUESTS * set.coordination().maxUnitsPerRequest());
         return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, recallMs(c.plan)));
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
     private double reserve(double now, CustomerState c) {
         double cost = c.plan.excessLossRatio();
-        double rate = c.othersDemand + WARY * c.plan.rate();
-        return rate * (now - c.sharedLevelAt + LAG_MS) / 1000 * 2 * cost / (1 + cost);
+        double rate = c.othersDemand + UNSEEN_USE_SHARE * c.plan.rate();
+        return rate * (now - c.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
     private boolean openAdmits(double now, CustomerState c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.spread == 1
                 || set.limits().peerMessages()
-                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_MS);
+                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
                 || (fresh
                         ? c.openRequests + c.othersOpenRequests < limit
@@ -506,14 +512,16 @@
     private double retryAfter(double now, CustomerState c, double units) {
         if (c.plan.rate() <= 0) return waitTold(0);
         double store = 1000 * (units - c.quotaLevel) / c.plan.rate();
-        double bucket = 1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_PRIOR, part(now, c)));
+        double bucket = 1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_SHARE_PRIOR, part(now, c)));
         return waitTold(
-                set.limits().peerMessages() || now - c.counterTotalAt < FRESH_MS ? store : Math.max(store, bucket));
+                set.limits().peerMessages() || now - c.counterTotalAt < FRESH_LEVEL_MS
+                        ? store
+                        : Math.max(store, bucket));
     }
 
     private double waitTold(double ms) {
         double longest = set.limits().maxRetryAfterMs();
-        return longest > 0 ? Math.min(longest, Math.max(RETRY_MIN_MS, ms)) : 0;
+        return longest > 0 ? Math.min(longest, Math.max(MIN_RETRY_AFTER_MS, ms)) : 0;
     }
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
@@ -538,15 +546,15 @@
         double period = set.coordination().meterPeriodMs();
         if (usedPct == c.lastMeterReading && now - c.meterShareAt < period) return; // told before: it says nothing new
         c.lastMeterReading = usedPct;
-        double fade = Math.exp(-Math.max(0, now - c.meterShareAt) / DEMAND_MS);
+        double fade = Math.exp(-Math.max(0, now - c.meterShareAt) / DEMAND_AVERAGING_MS);
         c.meterShareAt = now;
         c.meterTotal = c.meterTotal * fade + (usedPct - 1) / 100.0 * c.plan.rate() * period / 1000;
         c.meterSeconds = c.meterSeconds * fade + period / 1000;
-        c.meterOwn = c.meterOwn * fade + c.usageHistory.usedBetween(now - METER_LATE_MS - period, now - METER_LATE_MS);
-        double prior = EVEN_PRIOR * c.plan.rate();
+        c.meterOwn = c.meterOwn * fade + c.usageHistory.usedBetween(now - METER_LAG_MS - period, now - METER_LAG_MS);
+        double prior = EVEN_SHARE_PRIOR * c.plan.rate();
         double part = Math.min(1, (c.meterOwn + prior / c.spread) / (c.meterTotal + prior));
         boolean rises = usedPct - 1 < 100 && c.demand > part * c.plan.rate();
-        c.meterShare = rises ? Math.min(1, Math.max(part, c.meterShare) + RAISE) : part;
+        c.meterShare = rises ? Math.min(1, Math.max(part, c.meterShare) + SHARE_RAISE_STEP) : part;
     }
 
     // ---- processes of one gateway
@@ -592,7 +600,7 @@
     /** Holds a request that the own part has no room for until the whole store is known. */
     private void askCounter(double now, RequestState ask) {
         CustomerState c = ask.customer;
-        if (now + COUNT_LATE_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
+        if (now + COUNTER_CALL_ALLOWANCE_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             decide(now, ask, false);
             return;
         }
@@ -602,11 +610,11 @@
 
     /** Adds what was used and what is wanted: of two gateways the second then sees the first one's wish. */
     private void callCounter(double now, CustomerState c) {
-        if (wide(c)) c.counterWindow = c.windowAt(now, COUNT_LIFE_MS);
+        if (wide(c)) c.counterWindow = c.windowAt(now, COUNTER_LIFETIME_MS);
         c.beginCall(now);
         unreportedCustomers.remove(c);
         budget.recordCall(now);
-        act.addToCounter(c.counterName(wide(c)), c.callUnits, COUNT_LIFE_MS);
+        act.addToCounter(c.counterName(wide(c)), c.callUnits, COUNTER_LIFETIME_MS);
     }
 
     @Override
@@ -665,7 +673,7 @@
 
     /** What is to be put right in a count has a worth too, and waits where calls save more elsewhere. */
     private boolean worthCalling(double now, CustomerState c) {
-        double each = wide(c) ? GIVE_BACK : c.spread * (1 - c.fullness());
+        double each = wide(c) ? CORRECTION_WORTH_SHARE : c.spread * (1 - c.fullness());
         double units = Math.min(c.plan.burst(), each * Math.abs(c.unreportedUnits) + c.expiredUnits);
         return units > 0 && budget.hasSavedCall(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
     }
@@ -683,13 +691,13 @@
      * that do so at once the second sees by its answer that it was not needed, and takes it back.
      */
     private void learnWindow(double now, CustomerState c, double total) {
-        double seconds = c.elapsedInWindowMs(now, COUNT_LIFE_MS) / 1000;
+        double seconds = c.elapsedInWindowMs(now, COUNTER_LIFETIME_MS) / 1000;
         double left = c.plan.burst() + c.plan.rate() * seconds - (total - c.callRequestUnits());
         if (c.expiredUnitsInCall > 0 && left < c.plan.burst() - c.expiredUnitsInCall / 2)
             c.unreportedUnits -= c.expiredUnitsInCall;
         c.expiredUnitsInCall = 0;
         double lapsed = left - c.plan.burst();
-        c.expiredUnits = lapsed > OVERFULL * c.plan.burst() ? lapsed : 0;
+        c.expiredUnits = lapsed > MIN_LAPSED_BURSTS * c.plan.burst() ? lapsed : 0;
         c.applyCounterTotal(now, total, left);
     }
 
@@ -697,10 +705,10 @@
     private void reportUsage(double now) {
         if (unreportedCustomers.isEmpty()) return;
         for (CustomerState c : new ArrayList<>(unreportedCustomers)) {
-            boolean ended = wide(c) && c.counterWindow != c.windowAt(now, COUNT_LIFE_MS);
+            boolean ended = wide(c) && c.counterWindow != c.windowAt(now, COUNTER_LIFETIME_MS);
             if (ended) c.unreportedUnits = 0; // its name counts no more
             if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
-            else if (!c.callInFlight && now - c.counterCalledAt >= COUNT_MS && worthCalling(now, c))
+            else if (!c.callInFlight && now - c.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS && worthCalling(now, c))
                 callCounter(now, c);
         }
     }
@@ -711,7 +719,9 @@
     private void question(double now, RequestState ask, int stage) {
         CustomerState c = ask.customer;
         int keeper = stage < c.owners.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.gatewayNumber() || now + ANSWER_MS >= ask.details.deadlineMs() - DEADLINE_MS) {
+        if (keeper < 0
+                || keeper == set.gatewayNumber()
+                || now + OWNER_ANSWER_TIMEOUT_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
             decide(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
@@ -721,7 +731,7 @@
         ask.ownerIndex = keeper == c.owners[0] ? 0 : c.owners.length - 1;
         ask.askedOwner = keeper;
         ask.querySerial = peers[keeper].sentSerial + 1; // of the next message: the last one did not ask for it
-        ask.answerDueAt = now + ANSWER_MS;
+        ask.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
         questions.add(ask);
         c.ownerNotifiedAt = now;
@@ -741,7 +751,7 @@
         for (RequestState ask :
                 questions.stream().filter(a -> now >= a.answerDueAt).toList()) {
             questions.remove(ask);
-            peers[ask.askedOwner].unresponsiveUntil = now + SILENT_MS;
+            peers[ask.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
             touch(now, ask.customer);
             question(now, ask, ask.ownerIndex + 1);
         }
@@ -756,7 +766,7 @@
         if (keeper != set.gatewayNumber()) {
             c.ownerNotifiedAt = now;
             if (keeper >= 0) queue(peers[keeper], c);
-        } else if (now - c.ownerNotifiedAt > SYNC_MS) {
+        } else if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) {
             c.ownerNotifiedAt = now;
             IntStream.of(c.owners).filter(k -> k != set.gatewayNumber()).forEach(k -> queue(peers[k], c));
         }
@@ -770,10 +780,10 @@
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
     private void post(double now) {
-        double rate = Math.max(1, set.coordination().peerMessagesPerSecond()) * MAIL_SHARE / 1000;
-        mail = Math.min(Math.max(1, rate * MAIL_BURST_MS), mail + (now - mailAt) * rate / 2);
+        double rate = Math.max(1, set.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
+        mail = Math.min(Math.max(1, rate * PEER_MESSAGE_BURST_MS), mail + (now - mailAt) * rate / 2);
         mailAt = now;
-        double gap = Math.min(GAP_MAX_MS, (peers.length - 1) / rate);
+        double gap = Math.min(MAX_PEER_MESSAGE_GAP_MS, (peers.length - 1) / rate);
         for (PeerState peer : new ArrayList<>(outbox)) {
             if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && mail < 1) continue;
             if (peer.dueAnswers.isEmpty()) mail -= 1;
@@ -786,7 +796,7 @@
 
     private void tell(double now, PeerState peer) {
         List<PeerMessage.Entry> entries = new ArrayList<>();
-        int room = (TELL_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
+        int room = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.sentSerial++;
         for (LinkedHashSet<CustomerState> due : List.of(peer.dueAnswers, peer.dueReports)) {
             for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
@@ -807,7 +817,7 @@
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.unresponsiveUntil
                 || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
-        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_MS;
+        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
                 asked,
@@ -828,7 +838,7 @@
 
     private PeerMessage.Entry answer(double now, CustomerState c, PeerState to) {
         MemberState m = c.member(to);
-        double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS);
+        double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_AVERAGING_MS);
         double others = Math.max(0, c.demand + c.othersDemand - theirs);
         return new PeerMessage.Entry(
                 true,
@@ -886,8 +896,8 @@
             c.informed = true;
         }
         MemberState m = c.member(peer);
-        c.othersDemand =
-                Math.max(0, c.othersDemand + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_MS));
+        c.othersDemand = Math.max(
+                0, c.othersDemand + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_AVERAGING_MS));
         m.demand = e.demand();
         m.demandAt = now;
         c.othersOpenRequests += e.openRequests() - m.openRequests;
@@ -1006,7 +1016,7 @@
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
     private double giveUpAt(RequestState ask) {
-        double end = ask.details.deadlineMs() - DEADLINE_MS;
+        double end = ask.details.deadlineMs() - DEADLINE_MARGIN_MS;
         if (ask.firstPossibleRun() != null) return end;
         double aim = ask.classState.spec.goalMs();
         double useful = ask.classState.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrivedAt + aim);
@@ -1286,10 +1296,12 @@
     }
 
     private void sweep(double now) {
-        if (now - sweptAt < SWEEP_MS) return;
+        if (now - sweptAt < SWEEP_INTERVAL_MS) return;
         sweptAt = now;
-        unreportedCustomers.removeIf(c -> now - c.refilledAt > FORGET_MS);
-        customers.values().removeIf(c -> now - c.refilledAt > FORGET_MS && c.openRequests == 0 && c.pending.isEmpty());
+        unreportedCustomers.removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS);
+        customers
+                .values()
+                .removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS && c.openRequests == 0 && c.pending.isEmpty());
         servers.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
     }
 }
