--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -54,51 +54,52 @@
     private static final double COUNTER_LIFETIME_MS = 60_000; // of a name
     private static final double COUNTER_CALL_ALLOWANCE_MS = 150; // time that a request must have left for an answer
     // Release
-    private static final double CHANCE = 0.7; // places beyond the even ones, in roots of them: for bursts
-    private static final double BOUND_START = 6; // attempts out a host at first, by all gateways
-    private static final double BOUND_MIN = 3; // never fewer by all gateways, or cores would idle
-    private static final double BOUND_MAX = 128; // by all gateways: beyond this no host gains
-    private static final double BOUND_UP = 1.15; // growth a beat while requests wait on fast hosts
-    private static final double BOUND_DOWN = 0.85; // cut a beat while latency is stretched
-    private static final double BOUND_BEAT_MS = 250; // how often the bound moves
-    private static final int BOUND_ANSWERS = 8; // answers to move it by, or so many beats
-    private static final double BASE_DRIFT = 1.002; // growth a beat, so that a lasting change is accepted
-    private static final int BASE_SAMPLES = 20; // answers before the base is held
-    private static final double STRETCHED = 1.7; // latency over its base that counts as queueing at the hosts
-    private static final double AIM_USED = 0.1; // below this share of the aim latency does no harm
-    private static final double LATE_WORTH_KEPT = 0.5; // late worth from which a late answer merits a place
-    private static final double FINISH_SHARE = 3; // expected times a held request must still have
-    private static final double HOLD_SHARE = 0.1; // share of the aim for which any request may be held
-    private static final double AIM_LOST = 0.5; // mean share of the aim that is queueing for sure
-    private static final double GAP_GAIN = 0.1; // weight of one release in the mean gap of releases
-    private static final double FIRST_GUESS = 0.2; // of the aim: the largest request, before any answer
-    private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
+    private static final double BURST_HEADROOM = 0.7; // places beyond the even ones, in roots of them: for bursts
+    private static final double START_CONCURRENCY_PER_HOST = 6; // attempts out a host at first, by all gateways
+    private static final double MIN_CONCURRENCY_PER_HOST = 3; // never fewer by all gateways, or cores would idle
+    private static final double MAX_CONCURRENCY_PER_HOST = 128; // by all gateways: beyond this no host gains
+    private static final double CONCURRENCY_INCREASE = 1.15; // growth a beat while requests wait on fast hosts
+    private static final double CONCURRENCY_DECREASE = 0.85; // cut a beat while latency is stretched
+    private static final double CONCURRENCY_INTERVAL_MS = 250; // how often the bound moves
+    private static final int CONCURRENCY_MIN_ANSWERS = 8; // answers to move it by, or so many beats
+    private static final double BASELINE_DRIFT = 1.002; // growth a beat, so that a lasting change is accepted
+    private static final int BASELINE_MIN_SAMPLES = 20; // answers before the base is held
+    private static final double QUEUEING_LATENCY_RATIO =
+            1.7; // latency over its base that counts as queueing at the hosts
+    private static final double HARMLESS_GOAL_SHARE = 0.1; // below this share of the aim latency does no harm
+    private static final double MIN_LATE_VALUE = 0.5; // late worth from which a late answer merits a place
+    private static final double REQUIRED_EXPECTED_TIMES = 3; // expected times a held request must still have
+    private static final double MIN_HOLD_GOAL_SHARE = 0.1; // share of the aim for which any request may be held
+    private static final double QUEUEING_GOAL_SHARE = 0.5; // mean share of the aim that is queueing for sure
+    private static final double RELEASE_GAP_GAIN = 0.1; // weight of one release in the mean gap of releases
+    private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2; // of the aim: the largest request, before any answer
+    private static final int MAX_SCANNED = 16; // held requests passed over for want of a legal host, a turn
     // Weights: the paper's alpha, beta, epsilon
     private static final double ALPHA = 0.7; // weight of the old delay average
     private static final double BETA = 0.5; // share of a computed donation that is committed
     private static final double EPSILON = 0.1; // half-width of the band in which a class is content
-    private static final double DELAY_GOAL = 0.6; // share of the aim that a class's mean delay may take
-    private static final double WEIGHT_TICK_MS = 500; // delay averaging beat
-    private static final double WEIGHT_GAP_MS = 1000; // first interval between donations; doubles after one
-    private static final double WEIGHT_GAP_MAX_MS = 8000; // longest such interval
-    private static final double WEIGHT_STEP = 0.05; // first step, before a slope is known, of all weight
-    private static final double WEIGHT_MIN = 0.02; // least weight, as share of all
+    private static final double DELAY_GOAL_SHARE = 0.6; // share of the aim that a class's mean delay may take
+    private static final double DELAY_INTERVAL_MS = 500; // delay averaging beat
+    private static final double MIN_DONATION_INTERVAL_MS = 1000; // first interval between donations; doubles after one
+    private static final double MAX_DONATION_INTERVAL_MS = 8000; // longest such interval
+    private static final double INITIAL_WEIGHT_STEP = 0.05; // first step, before a slope is known, of all weight
+    private static final double MIN_WEIGHT = 0.02; // least weight, as share of all
     // Hosts
-    private static final double SLOW_GAIN = 0.12; // weight of one answer in a host's slowness
-    private static final double FAILED_GAIN = 0.4; // weight of a failure or of an overdue attempt
-    private static final double BAD_ANSWER = 4; // slowness of a full host, and of one tried before
-    private static final double TROUBLED = 2.2; // slowness from which a host is worse than chance makes it
-    private static final double SILENT_AFTER = 5; // expected times, and
-    private static final double QUIET_MS = 400; // so much, after which it is overdue
-    private static final double ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final double COLD_SAFETY = 0.7; // of a cold host's allowance: bursts fit in the rest
-    private static final int HOMES = 8; // hosts a gateway keeps to, while they serve; more
-    private static final int HOST_GATEWAYS = 6; // where a host would have fewer gateways than this
-    private static final int DRAWS = 2; // hosts compared at least; more where own counts can tell them apart
-    private static final double SURVEY_MS = 500; // how often the hosts are counted
-    private static final double RETRY_SHARE = 0.2; // further attempts earned by each first one
-    private static final double RETRY_MAX = 20; // most further attempts saved up
-    private static final double WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
+    private static final double LATENCY_GAIN = 0.12; // weight of one answer in a host's slowness
+    private static final double FAILURE_GAIN = 0.4; // weight of a failure or of an overdue attempt
+    private static final double FULL_HOST_SLOWNESS = 4; // slowness of a full host, and of one tried before
+    private static final double UNHEALTHY_SLOWNESS = 2.2; // slowness from which a host is worse than chance makes it
+    private static final double OVERDUE_EXPECTED_TIMES = 5; // expected times, and
+    private static final double OVERDUE_MIN_MS = 400; // so much, after which it is overdue
+    private static final double CROSS_ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
+    private static final double COLD_ALLOWANCE_SHARE = 0.7; // of a cold host's allowance: bursts fit in the rest
+    private static final int MIN_SUBSET_SIZE = 8; // hosts a gateway keeps to, while they serve; more
+    private static final int MIN_GATEWAYS_PER_HOST = 6; // where a host would have fewer gateways than this
+    private static final int MIN_CANDIDATES = 2; // hosts compared at least; more where own counts can tell them apart
+    private static final double HOST_REFRESH_INTERVAL_MS = 500; // how often the hosts are counted
+    private static final double RETRY_BUDGET_SHARE = 0.2; // further attempts earned by each first one
+    private static final double MAX_RETRY_TOKENS = 20; // most further attempts saved up
+    private static final double KEY_WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
     private static final double DEADLINE_MARGIN_MS = 40; // refuse or fail this long before a deadline: two beats
 
     private final Actions act;
@@ -124,12 +125,12 @@
     private double margin = MARGIN_START;
     private double counterToldAt = DecisionState.NEVER;
     private double meanWorth;
-    private double mail, donateGap = WEIGHT_GAP_MS;
+    private double mail, donateGap = MIN_DONATION_INTERVAL_MS;
     private boolean waited;
     private int inFlight, answers, processes = 1;
-    private double perHost = BOUND_START;
+    private double perHost = START_CONCURRENCY_PER_HOST;
     private double capacity, turn;
-    private double retryTokens = RETRY_MAX / 2;
+    private double retryTokens = MAX_RETRY_TOKENS / 2;
     private double latencySum, baseSum, aimShareSum;
 
     public DecisionModule(Actions act) {
@@ -147,13 +148,14 @@
         peers = new PeerState[Math.max(1, settings.gatewayCount())];
         Arrays.setAll(peers, PeerState::new);
         double worth = settings.classes().stream()
-                .mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth()))
+                .mapToDouble(c -> Math.max(MIN_WEIGHT, c.worth()))
                 .sum();
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
-            state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit = state.baselineLatency =
-                    c.goalMs() * FIRST_GUESS / settings.coordination().maxUnitsPerRequest();
+            state.weight = Math.max(MIN_WEIGHT, c.worth()) / worth;
+            state.latencyPerUnit = state.baselineLatency = c.goalMs()
+                    * INITIAL_LATENCY_GOAL_SHARE
+                    / settings.coordination().maxUnitsPerRequest();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++)
@@ -254,7 +256,7 @@
         expire(now);
         missAnswers(now);
         reportUsage(now);
-        if (now - surveyedAt >= SURVEY_MS) survey(now);
+        if (now - surveyedAt >= HOST_REFRESH_INTERVAL_MS) survey(now);
         watchHealth(now);
         adaptBound(now);
         weighClasses(now);
@@ -964,7 +966,7 @@
     /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
     private double bound() {
         double even = perHost * Math.max(1, capacity) / (peers.length * processes);
-        return Math.max(1, even + CHANCE * Math.sqrt(even) * (1 - 1.0 / peers.length));
+        return Math.max(1, even + BURST_HEADROOM * Math.sqrt(even) * (1 - 1.0 / peers.length));
     }
 
     /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
@@ -984,7 +986,7 @@
     }
 
     private boolean releaseOne(double now, ClassState c) {
-        for (RequestState ask : c.queue.stream().limit(SCAN).toList()) {
+        for (RequestState ask : c.queue.stream().limit(MAX_SCANNED).toList()) {
             TrackedHost s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
@@ -992,7 +994,7 @@
             c.virtualTime += ask.expectedMs() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
             if (goesOn && c.releasedAt > DecisionState.NEVER) {
-                c.meanReleaseGap += GAP_GAIN * (now - c.releasedAt - c.meanReleaseGap);
+                c.meanReleaseGap += RELEASE_GAP_GAIN * (now - c.releasedAt - c.meanReleaseGap);
             }
             c.releasedAt = goesOn ? now : DecisionState.NEVER;
             send(now, ask, s);
@@ -1004,7 +1006,7 @@
     private void send(double now, RequestState ask, TrackedHost s) {
         Attempt a = new Attempt(ask, s, now, ask.expectedMs());
         if (ask.attempts.isEmpty()) {
-            retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
+            retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_BUDGET_SHARE);
             ask.classState.recordDelay(now - ask.arrivedAt, 0);
             if (ask.customer != null) ask.customer.unsentUnits -= ask.details.units();
         }
@@ -1019,9 +1021,9 @@
         double end = ask.details.deadlineMs() - DEADLINE_MARGIN_MS;
         if (ask.firstPossibleRun() != null) return end;
         double aim = ask.classState.spec.goalMs();
-        double useful = ask.classState.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrivedAt + aim);
-        double hold = useful - ask.arrivedAt - FINISH_SHARE * ask.expectedMs();
-        return Math.min(end, ask.arrivedAt + Math.max(HOLD_SHARE * aim, hold));
+        double useful = ask.classState.spec.lateValue() >= MIN_LATE_VALUE ? end : Math.min(end, ask.arrivedAt + aim);
+        double hold = useful - ask.arrivedAt - REQUIRED_EXPECTED_TIMES * ask.expectedMs();
+        return Math.min(end, ask.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * aim, hold));
     }
 
     private void expire(double now) {
@@ -1065,36 +1067,39 @@
     }
 
     private void adaptBound(double now) {
-        if (now - boundAt < BOUND_BEAT_MS) return;
+        if (now - boundAt < CONCURRENCY_INTERVAL_MS) return;
         // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
-        if (answers > 0 && answers < BOUND_ANSWERS && now - boundAt < BOUND_ANSWERS * BOUND_BEAT_MS) return;
+        if (answers > 0
+                && answers < CONCURRENCY_MIN_ANSWERS
+                && now - boundAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
         boundAt = now;
         if (answers > 0) {
-            boolean stretched = latencySum > STRETCHED * baseSum && aimShareSum > AIM_USED * answers
-                    || aimShareSum > AIM_LOST * answers;
-            if (stretched) perHost = Math.max(BOUND_MIN, perHost * BOUND_DOWN);
-            else if (waited) perHost = Math.min(BOUND_MAX, perHost * BOUND_UP);
+            boolean stretched =
+                    latencySum > QUEUEING_LATENCY_RATIO * baseSum && aimShareSum > HARMLESS_GOAL_SHARE * answers
+                            || aimShareSum > QUEUEING_GOAL_SHARE * answers;
+            if (stretched) perHost = Math.max(MIN_CONCURRENCY_PER_HOST, perHost * CONCURRENCY_DECREASE);
+            else if (waited) perHost = Math.min(MAX_CONCURRENCY_PER_HOST, perHost * CONCURRENCY_INCREASE);
         }
         latencySum = baseSum = aimShareSum = 0;
         answers = 0;
-        classes.values().forEach(c -> c.updateBaseline(BASE_SAMPLES, BASE_DRIFT));
+        classes.values().forEach(c -> c.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
     }
 
     // ---- weights by donation
 
     static double goal(ClassState c) {
-        return c.spec.goalMs() * DELAY_GOAL;
+        return c.spec.goalMs() * DELAY_GOAL_SHARE;
     }
 
     private void weighClasses(double now) {
-        if (now - delayAt < WEIGHT_TICK_MS) return;
+        if (now - delayAt < DELAY_INTERVAL_MS) return;
         delayAt = now;
         classes.values().forEach(c -> c.endDelayInterval(ALPHA));
         if (now - donateAt < donateGap) return;
         donateAt = now;
         if (waited) classes.values().forEach(c -> c.measureSlope(goal(c) * EPSILON));
         boolean gave = waited && donate(new ArrayList<>(classes.values()));
-        donateGap = gave ? Math.min(WEIGHT_GAP_MAX_MS, donateGap * 2) : WEIGHT_GAP_MS;
+        donateGap = gave ? Math.min(MAX_DONATION_INTERVAL_MS, donateGap * 2) : MIN_DONATION_INTERVAL_MS;
         waited = false;
     }
 
@@ -1108,13 +1113,14 @@
             surplus += surplus(c);
         }
         if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask = worst.delaySlope > 0 ? (worst.meanDelay - goal(worst)) / worst.delaySlope : WEIGHT_STEP;
+        double ask = worst.delaySlope > 0 ? (worst.meanDelay - goal(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
         for (ClassState c : all) {
             if (surplus(c) <= 0) continue;
-            double clamp = c.delaySlope > 0 ? ((1 - EPSILON) * goal(c) - c.meanDelay) / c.delaySlope : WEIGHT_STEP;
+            double clamp =
+                    c.delaySlope > 0 ? ((1 - EPSILON) * goal(c) - c.meanDelay) / c.delaySlope : INITIAL_WEIGHT_STEP;
             double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
-            gift = Math.max(0, Math.min(gift, c.weight - WEIGHT_MIN));
+            gift = Math.max(0, Math.min(gift, c.weight - MIN_WEIGHT));
             c.weight -= gift;
             moved += gift;
         }
@@ -1143,7 +1149,7 @@
 
     /** A host that drains, or that is taken to be in trouble for every class. */
     private boolean avoids(double now, TrackedHost s) {
-        return !s.isEligible() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= TROUBLED);
+        return !s.isEligible() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= UNHEALTHY_SLOWNESS);
     }
 
     /** Counts the hosts in use, so that each event needs only look-ups. */
@@ -1154,13 +1160,13 @@
         for (TrackedHost s : servers.values()) {
             if (!s.isEligible()) continue;
             usable.add(s);
-            capacity += s.health.slowness(now) < BAD_ANSWER ? s.capacityShare(now, set.rules()) : 0;
+            capacity += s.health.slowness(now) < FULL_HOST_SLOWNESS ? s.capacityShare(now, set.rules()) : 0;
         }
         // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
         // each, and tables that do not fill where there are hundreds of gateways.
         usable.sort(Comparator.comparing(s -> s.info.id().hashCode()));
         homes.clear();
-        int kept = Math.max(HOMES, HOST_GATEWAYS * usable.size() / peers.length);
+        int kept = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * usable.size() / peers.length);
         for (int i = 0; i < Math.min(kept, usable.size()); i++) {
             homes.add(usable.get((int) (((long) set.gatewayNumber() * kept + i) % usable.size())));
         }
@@ -1172,18 +1178,18 @@
      * attempts out can tell apart, and where that is all of them, all.
      */
     private TrackedHost pick(double now, RequestState ask) {
-        int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
+        int draws = Math.min(homes.size(), MIN_CANDIDATES + 2 * inFlight);
         TrackedHost best = best(now, ask, ownCounts() ? homes : drawn(now, ask.classState, draws), draws);
         return best != null ? best : best(now, ask, usable, usable.size());
     }
 
     private boolean ownCounts() {
-        return DRAWS + 2 * inFlight >= homes.size();
+        return MIN_CANDIDATES + 2 * inFlight >= homes.size();
     }
 
     private Collection<TrackedHost> drawn(double now, ClassState c, int draws) {
         LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
-        for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
+        for (int i = 0; i < draws * MAX_SCANNED && drawn.size() < draws; i++) {
             TrackedHost s = homes.get(random.nextInt(homes.size()));
             if (random.nextDouble() * slowness(now, s, c) <= 1) drawn.add(s);
         }
@@ -1197,7 +1203,7 @@
             if (!s.isEligible() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
             double ramp = s.capacityShare(now, set.rules());
-            double share = COLD_SAFETY * set.rules().fallMultiple() * ramp;
+            double share = COLD_ALLOWANCE_SHARE * set.rules().fallMultiple() * ramp;
             if (ramp < 1 && random.nextDouble() * draws > share) continue;
             double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
             if (score < bestScore) best = s;
@@ -1208,12 +1214,12 @@
 
     private double score(double now, RequestState ask, TrackedHost s) {
         double doubt = slowness(now, s, ask.classState);
-        if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
+        if (!ownCounts() && doubt < UNHEALTHY_SLOWNESS) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
-            if (a.host == s) doubt *= BAD_ANSWER;
+            if (a.host == s) doubt *= FULL_HOST_SLOWNESS;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.expectedMs();
+        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
         return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, set.rules()) + zone;
     }
 
@@ -1235,7 +1241,7 @@
     /** A further attempt may first wait for a connection as long as one may take to come up. */
     private double windowMs(RequestClass spec) {
         return Math.min(
-                WINDOW_SHARE * spec.keyWindowMs(),
+                KEY_WINDOW_SHARE * spec.keyWindowMs(),
                 spec.keyWindowMs() - set.limits().connectTimeoutMs());
     }
 
@@ -1254,8 +1260,8 @@
         ClassState c = ask.classState;
         switch (r.outcome()) {
             case OK -> {
-                s.health.observe(now, r.latencyMs() / Math.max(1, a.expectedMs), SLOW_GAIN);
-                s.classHealth(c).observe(now, 1, FAILED_GAIN);
+                s.health.observe(now, r.latencyMs() / Math.max(1, a.expectedMs), LATENCY_GAIN);
+                s.classHealth(c).observe(now, 1, FAILURE_GAIN);
                 double perUnit = r.latencyMs() / Math.max(0.1, ask.details.units());
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
@@ -1267,8 +1273,8 @@
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
             case CONNECT_FAILED -> s.health.observe(now, Health.MAX_SLOWNESS, 1);
-            case FULL -> s.health.observe(now, BAD_ANSWER, FAILED_GAIN);
-            case ERROR, RESET, TIMEOUT -> s.classHealth(c).observe(now, Health.MAX_SLOWNESS, FAILED_GAIN);
+            case FULL -> s.health.observe(now, FULL_HOST_SLOWNESS, FAILURE_GAIN);
+            case ERROR, RESET, TIMEOUT -> s.classHealth(c).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
             default -> {}
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
@@ -1284,9 +1290,9 @@
         for (TrackedHost s : new ArrayList<>(watched)) {
             for (Attempt a : new ArrayList<>(s.attemptsInFlight)) {
                 double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
-                if (a.overdue || now - a.sentAt <= SILENT_AFTER * expected + QUIET_MS) continue;
+                if (a.overdue || now - a.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS) continue;
                 a.overdue = true;
-                s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILED_GAIN);
+                s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
                 boolean useful = !a.request.closed && !a.request.streaming && now + a.expectedMs < giveUpAt(a.request);
                 boolean safe = a.request.classState.spec.effect() != Effect.ONCE
                         && set.limits().mayCancel();
