--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -102,79 +102,85 @@
     private static final double KEY_WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
     private static final double DEADLINE_MARGIN_MS = 40; // refuse or fail this long before a deadline: two beats
 
-    private final Actions act;
+    private final Actions actions;
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
     private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
     private final Map<Long, CustomerState> customers = new LinkedHashMap<>();
-    private final Map<String, TrackedHost> servers = new LinkedHashMap<>();
-    private final Map<String, RequestState> asks = new LinkedHashMap<>();
+    private final Map<String, TrackedHost> hosts = new LinkedHashMap<>();
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
     private final ArrayDeque<PeerState> outbox = new ArrayDeque<>();
-    private final LinkedHashSet<RequestState> questions = new LinkedHashSet<>();
+    private final LinkedHashSet<RequestState> ownerQueries = new LinkedHashSet<>();
     private final LinkedHashSet<CustomerState> unreportedCustomers = new LinkedHashSet<>();
-    private final LinkedHashSet<TrackedHost> watched = new LinkedHashSet<>();
-    private final List<TrackedHost> usable = new ArrayList<>();
-    private final List<TrackedHost> homes = new ArrayList<>();
+    private final LinkedHashSet<TrackedHost> busyHosts = new LinkedHashSet<>();
+    private final List<TrackedHost> eligibleHosts = new ArrayList<>();
+    private final List<TrackedHost> subset = new ArrayList<>();
     private PeerState[] peers = new PeerState[0];
-    private Settings set;
+    private Settings settings;
     private Random random;
     private int epoch;
-    private double startedAt, boundAt, sweptAt, delayAt, donateAt, mailAt, surveyedAt;
-    private CallBudget budget;
-    private AdmissionEstimate[] estimates;
-    private final ExcessEstimate excess = new ExcessEstimate();
-    private double margin = MARGIN_START;
-    private double counterToldAt = DecisionState.NEVER;
+    private double startedAt,
+            concurrencyAdjustedAt,
+            sweptAt,
+            delayIntervalEndedAt,
+            donatedAt,
+            messageTokensAt,
+            hostsRefreshedAt;
+    private CallBudget callBudget;
+    private AdmissionEstimate[] admissionEstimates;
+    private final ExcessEstimate excessEstimate = new ExcessEstimate();
+    private double admissionMargin = MARGIN_START;
+    private double counterAnsweredAt = DecisionState.NEVER;
     private double meanWorth;
-    private double mail, donateGap = MIN_DONATION_INTERVAL_MS;
-    private boolean waited;
-    private int inFlight, answers, processes = 1;
-    private double perHost = START_CONCURRENCY_PER_HOST;
-    private double capacity, turn;
+    private double messageTokens, donationIntervalMs = MIN_DONATION_INTERVAL_MS;
+    private boolean requestsWaited;
+    private int attemptsInFlight, answerCount, processCount = 1;
+    private double concurrencyPerHost = START_CONCURRENCY_PER_HOST;
+    private double warmCapacity, virtualTime;
     private double retryTokens = MAX_RETRY_TOKENS / 2;
-    private double latencySum, baseSum, aimShareSum;
+    private double latencySum, baselineSum, goalShareSum;
 
-    public DecisionModule(Actions act) {
-        this.act = act;
+    public DecisionModule(Actions actions) {
+        this.actions = actions;
     }
 
     // ---- events
 
     @Override
-    public void start(double now, Settings settings) {
-        set = settings;
-        random = new Random(settings.seed());
+    public void start(double now, Settings initialSettings) {
+        settings = initialSettings;
+        random = new Random(initialSettings.seed());
         startedAt = now;
         epoch = (int) (long) now;
-        peers = new PeerState[Math.max(1, settings.gatewayCount())];
+        peers = new PeerState[Math.max(1, initialSettings.gatewayCount())];
         Arrays.setAll(peers, PeerState::new);
-        double worth = settings.classes().stream()
+        double worth = initialSettings.classes().stream()
                 .mapToDouble(c -> Math.max(MIN_WEIGHT, c.worth()))
                 .sum();
-        for (RequestClass c : settings.classes()) {
+        for (RequestClass c : initialSettings.classes()) {
             ClassState state = new ClassState(c);
             state.weight = Math.max(MIN_WEIGHT, c.worth()) / worth;
             state.latencyPerUnit = state.baselineLatency = c.goalMs()
                     * INITIAL_LATENCY_GOAL_SHARE
-                    / settings.coordination().maxUnitsPerRequest();
+                    / initialSettings.coordination().maxUnitsPerRequest();
             classes.put(c.name(), state);
         }
-        for (int i = 0; i < settings.plans().size(); i++)
-            planNumbers.put(settings.plans().get(i).name(), i);
-        budget = new CallBudget(now, settings.coordination().counterTimeoutMs(), peers.length);
-        estimates = new AdmissionEstimate[settings.plans().size()];
-        Arrays.setAll(estimates, i -> new AdmissionEstimate());
-        boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
-        if (settings.subscribesToHosts()) act.subscribeHosts();
-        act.startTimer(TICK_MS, "beat");
+        for (int i = 0; i < initialSettings.plans().size(); i++)
+            planNumbers.put(initialSettings.plans().get(i).name(), i);
+        callBudget = new CallBudget(now, initialSettings.coordination().counterTimeoutMs(), peers.length);
+        admissionEstimates = new AdmissionEstimate[initialSettings.plans().size()];
+        Arrays.setAll(admissionEstimates, i -> new AdmissionEstimate());
+        concurrencyAdjustedAt = sweptAt = delayIntervalEndedAt = donatedAt = messageTokensAt = hostsRefreshedAt = now;
+        if (initialSettings.subscribesToHosts()) actions.subscribeHosts();
+        actions.startTimer(TICK_MS, "beat");
     }
 
     @Override
-    public void hostsUpdated(double now, HostListKind kind, List<Host> hosts) {
-        if (kind == HostListKind.FAILED) act.startTimer(STALE_LEVEL_MS, "watch");
+    public void hostsUpdated(double now, HostListKind kind, List<Host> updates) {
+        if (kind == HostListKind.FAILED) actions.startTimer(STALE_LEVEL_MS, "watch");
         if (kind == HostListKind.FAILED) return;
-        if (kind != HostListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
-        hosts.forEach(
-                h -> servers.computeIfAbsent(h.id(), id -> new TrackedHost(h)).update(h));
+        if (kind != HostListKind.CHANGES) hosts.values().forEach(s -> s.listed = false);
+        updates.forEach(
+                h -> hosts.computeIfAbsent(h.id(), id -> new TrackedHost(h)).update(h));
         survey(now);
         release(now);
     }
@@ -182,12 +188,12 @@
     @Override
     public void requestReceived(double now, Request r) {
         ClassState cls = classes.get(r.requestClass());
-        if (cls == null) act.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
+        if (cls == null) actions.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
         CustomerState c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
         RequestState ask = new RequestState(r, cls, c, now);
-        asks.put(r.id(), ask);
+        requests.put(r.id(), ask);
         switch (c == null ? Verdict.IN : judge(now, ask)) {
             case IN -> letIn(now, ask);
             case OUT -> decide(now, ask, false);
@@ -204,7 +210,7 @@
         CustomerState c = ask.customer;
         if (c != null) c.requestAdmitted(now);
         if (c != null) charge(now, c, ask.details.units(), ask.details.units());
-        if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, turn);
+        if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, virtualTime);
         cls.queue.addLast(ask);
         release(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
@@ -214,19 +220,19 @@
 
     @Override
     public void streamStarted(double now, String id, int attempt) {
-        RequestState ask = asks.get(id);
+        RequestState ask = requests.get(id);
         if (ask != null) ask.streaming = true;
     }
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
-        RequestState ask = asks.get(r.id());
+        RequestState ask = requests.get(r.id());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
         if (!a.inFlight) return;
         a.end(r.outcome());
-        inFlight--;
-        if (a.host.attemptsInFlight.isEmpty()) watched.remove(a.host);
+        attemptsInFlight--;
+        if (a.host.attemptsInFlight.isEmpty()) busyHosts.remove(a.host);
         learn(now, ask, a, r);
         if (r.requestClosed()) {
             close(now, ask);
@@ -234,29 +240,29 @@
             if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.classState.queue.addFirst(ask);
             else finish(now, ask);
         }
-        if (ask.closed && !ask.hasAttemptInFlight()) asks.remove(ask.details.id());
+        if (ask.closed && !ask.hasAttemptInFlight()) requests.remove(ask.details.id());
         release(now);
     }
 
     @Override
     public void clientDisconnected(double now, String id) {
-        RequestState ask = asks.get(id);
+        RequestState ask = requests.get(id);
         if (ask == null) return;
         close(now, ask);
         for (Attempt a : ask.attempts) {
-            if (a.inFlight && set.limits().mayCancel() && !ask.streaming) act.cancel(id, a.number);
+            if (a.inFlight && settings.limits().mayCancel() && !ask.streaming) actions.cancel(id, a.number);
         }
     }
 
     @Override
     public void timerFired(double now, String token) {
-        if (token.equals("watch")) act.subscribeHosts();
+        if (token.equals("watch")) actions.subscribeHosts();
         if (!token.equals("beat")) return;
-        act.startTimer(TICK_MS, "beat");
+        actions.startTimer(TICK_MS, "beat");
         expire(now);
         missAnswers(now);
         reportUsage(now);
-        if (now - surveyedAt >= HOST_REFRESH_INTERVAL_MS) survey(now);
+        if (now - hostsRefreshedAt >= HOST_REFRESH_INTERVAL_MS) survey(now);
         watchHealth(now);
         adaptBound(now);
         weighClasses(now);
@@ -277,7 +283,7 @@
     private CustomerState customer(double now, long id, int plan, int first, int spread) {
         CustomerState c = customers.get(id);
         if (c == null || c.planNumber != plan) {
-            Plan p = set.plans().get(plan);
+            Plan p = settings.plans().get(plan);
             int wide = Math.max(1, Math.min(spread, peers.length));
             int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, OWNER_COUNT);
             c = new CustomerState(id, plan, p, first, wide, keepers, now);
@@ -298,7 +304,7 @@
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
     private double ceilingShare(CustomerState c) {
         if (c.spread == 1) return 1;
-        return (c.owners[0] == set.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
+        return (c.owners[0] == settings.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
                 + (1 - PRIMARY_OWNER_CAP_SHARE) / c.spread;
     }
 
@@ -317,7 +323,7 @@
         c.refilledAt = now;
         if (!wide(c)) c.reduceUnreported(part * p.rate() * s * c.fullness());
         c.quotaLevel = Math.min(p.burst(), c.quotaLevel + p.rate() * s);
-        double left = Math.max(0, p.rate() - othersRate(c)) / processes;
+        double left = Math.max(0, p.rate() - othersRate(c)) / processCount;
         c.spareUnits = Math.min(spareHold(c, part), c.spareUnits + left * s);
         c.ownTokens = Math.min(Math.max(part * p.burst(), leastHold(p)), c.ownTokens + part * p.rate() * s);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
@@ -326,11 +332,11 @@
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
     private double spareHold(CustomerState c, double part) {
-        return c.plan.burst() * (part + (1.0 / processes - part) * OTHERS_FREE_SHARE);
+        return c.plan.burst() * (part + (1.0 / processCount - part) * OTHERS_FREE_SHARE);
     }
 
     private double leastHold(Plan p) {
-        return Math.min(p.burst(), set.coordination().maxUnitsPerRequest());
+        return Math.min(p.burst(), settings.coordination().maxUnitsPerRequest());
     }
 
     /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
@@ -346,20 +352,21 @@
      */
     private boolean spares(CustomerState c, double units) {
         double unseen = othersRate(c) * METER_LAG_MS / 1000;
-        boolean guesses = set.coordination().meterPeriodMs() > 0 || !costly(c.plan);
-        return guesses && !set.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
+        boolean guesses = settings.coordination().meterPeriodMs() > 0 || !costly(c.plan);
+        return guesses && !settings.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
     private double part(double now, CustomerState c) {
-        return partOfAll(now, c) / processes;
+        return partOfAll(now, c) / processCount;
     }
 
     /** The part of all processes of this gateway. */
     private double partOfAll(double now, CustomerState c) {
         if (c.spread == 1) return 1;
-        if (!set.limits().peerMessages()) return now - c.meterAt < STALE_LEVEL_MS ? c.meterShare : 1.0 / c.spread;
-        if (now - c.sharedLevelAt > STALE_LEVEL_MS && keeper(now, c, 0) != set.gatewayNumber()) return 1.0 / c.spread;
+        if (!settings.limits().peerMessages()) return now - c.meterAt < STALE_LEVEL_MS ? c.meterShare : 1.0 / c.spread;
+        if (now - c.sharedLevelAt > STALE_LEVEL_MS && keeper(now, c, 0) != settings.gatewayNumber())
+            return 1.0 / c.spread;
         double prior = EVEN_SHARE_PRIOR * c.plan.rate();
         return (c.demand + prior / c.spread) / (c.demand + c.othersDemand + prior);
     }
@@ -369,9 +376,9 @@
         for (int i = stage; i < c.owners.length; i++) {
             int k = c.owners[i];
             boolean last = i == c.owners.length - 1;
-            if (k == set.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].unresponsiveUntil) return k;
+            if (k == settings.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].unresponsiveUntil) return k;
         }
-        return c.owners[0] == set.gatewayNumber() ? set.gatewayNumber() : -1;
+        return c.owners[0] == settings.gatewayNumber() ? settings.gatewayNumber() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
@@ -385,7 +392,7 @@
         c.demand += units / DEMAND_AVERAGING_MS * 1000;
         Plan p = c.plan;
         meanWorth += MEAN_WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
-        budget.updateMinPrice(set.coordination().counterCallPrice(), meanWorth);
+        callBudget.updateMinPrice(settings.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
         boolean full = !p.excessPays() && !openAdmits(now, c);
         if (full || limited && c.quotaLevel < units) {
@@ -395,10 +402,10 @@
         }
         if (limited) ask.evidence = evidence(now, ask);
         if (limited && wide(c)) return judgeWide(now, ask);
-        boolean asks = set.limits().peerMessages() && c.spread > 1;
+        boolean asks = settings.limits().peerMessages() && c.spread > 1;
         int keeper = keeper(now, c, 0);
         boolean room = !limited
-                || keeper == set.gatewayNumber() && asks
+                || keeper == settings.gatewayNumber() && asks
                 || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_LEVEL_MS)
                 || spares(c, units)
                 || (asks || counts(c))
@@ -413,17 +420,17 @@
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
     private boolean partless(CustomerState c) {
-        return !set.limits().peerMessages()
-                && c.plan.burst() / c.spread < set.coordination().maxUnitsPerRequest();
+        return !settings.limits().peerMessages()
+                && c.plan.burst() / c.spread < settings.coordination().maxUnitsPerRequest();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
     private boolean wide(CustomerState c) {
-        return partless(c) && c.plan.capRate() <= 0 && (set.coordination().hasCounter() || costly(c.plan));
+        return partless(c) && c.plan.capRate() <= 0 && (settings.coordination().hasCounter() || costly(c.plan));
     }
 
     private boolean costly(Plan p) {
-        double mean = set.plans().stream()
+        double mean = settings.plans().stream()
                 .mapToDouble(Plan::weightedExcessLoss)
                 .average()
                 .orElse(0);
@@ -437,7 +444,7 @@
     private Verdict judgeWide(double now, RequestState ask) {
         CustomerState c = ask.customer;
         double units = ask.details.units();
-        if (!set.coordination().hasCounter())
+        if (!settings.coordination().hasCounter())
             return c.ownTokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
         boolean in = guess(now, ask);
         boolean foundEmpty = c.counterVerdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
@@ -446,24 +453,24 @@
         if (!asks && in) adaptMargin(ask, chance(ask));
         if (!asks) return in ? Verdict.IN : Verdict.OUT;
         ask.requestedUnits = chance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
-        ask.sampledUnits = in ? units * (1 / (ask.callProbability * budget.allowedShare()) - 1) : 0;
+        ask.sampledUnits = in ? units * (1 / (ask.callProbability * callBudget.allowedShare()) - 1) : 0;
         return Verdict.COUNT;
     }
 
     /** Whether a call is made that saves so much of a request's worth. */
     private boolean draws(double now, RequestState ask, double saved) {
-        ask.callProbability = Math.min(1, ask.worth() * saved / budget.price(now));
-        return random.nextDouble() < ask.callProbability && budget.allowsCall(now);
+        ask.callProbability = Math.min(1, ask.worth() * saved / callBudget.price(now));
+        return random.nextDouble() < ask.callProbability && callBudget.allowsCall(now);
     }
 
     private double chance(RequestState ask) {
-        return estimates[ask.customer.planNumber].chance(ask.evidence);
+        return admissionEstimates[ask.customer.planNumber].chance(ask.evidence);
     }
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
     private double risk(double now, RequestState ask) {
-        boolean controlled = now - counterToldAt < STALE_LEVEL_MS;
-        return (controlled ? margin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
+        boolean controlled = now - counterAnsweredAt < STALE_LEVEL_MS;
+        return (controlled ? admissionMargin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
     }
 
     /** Whether it pays in the mean to let in what the counter is not asked about. */
@@ -473,9 +480,9 @@
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
     private void adaptMargin(RequestState ask, double chance) {
-        excess.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
-        double step = excess.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
-        margin = Math.max(1, Math.min(MARGIN_MAX, margin * step));
+        excessEstimate.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
+        double step = excessEstimate.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
+        admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * step));
     }
 
     private static double recallMs(Plan p) {
@@ -485,10 +492,10 @@
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
     private int evidence(double now, RequestState ask) {
         CustomerState c = ask.customer;
-        double perPeriod = c.plan.rate() * set.coordination().meterPeriodMs() / 1000;
+        double perPeriod = c.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
         double metered = now - c.meterAt < recallMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
         boolean hot = metered
-                > Math.max(perPeriod, OWN_USE_REQUESTS * set.coordination().maxUnitsPerRequest());
+                > Math.max(perPeriod, OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
         return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, recallMs(c.plan)));
     }
 
@@ -502,8 +509,8 @@
     private boolean openAdmits(double now, CustomerState c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.spread == 1
-                || set.limits().peerMessages()
-                        && (keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS);
+                || settings.limits().peerMessages()
+                        && (keeper(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
                 || (fresh
                         ? c.openRequests + c.othersOpenRequests < limit
@@ -516,13 +523,13 @@
         double store = 1000 * (units - c.quotaLevel) / c.plan.rate();
         double bucket = 1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_SHARE_PRIOR, part(now, c)));
         return waitTold(
-                set.limits().peerMessages() || now - c.counterTotalAt < FRESH_LEVEL_MS
+                settings.limits().peerMessages() || now - c.counterTotalAt < FRESH_LEVEL_MS
                         ? store
                         : Math.max(store, bucket));
     }
 
     private double waitTold(double ms) {
-        double longest = set.limits().maxRetryAfterMs();
+        double longest = settings.limits().maxRetryAfterMs();
         return longest > 0 ? Math.min(longest, Math.max(MIN_RETRY_AFTER_MS, ms)) : 0;
     }
 
@@ -543,9 +550,9 @@
      * would grow by itself: each gateway of the set would see its own share rise until the next figure.
      */
     private void meter(double now, CustomerState c, int usedPct) {
-        if (usedPct <= 0 || set.limits().peerMessages() || c.plan.rate() <= 0) return;
+        if (usedPct <= 0 || settings.limits().peerMessages() || c.plan.rate() <= 0) return;
         c.meterAt = now;
-        double period = set.coordination().meterPeriodMs();
+        double period = settings.coordination().meterPeriodMs();
         if (usedPct == c.lastMeterReading && now - c.meterShareAt < period) return; // told before: it says nothing new
         c.lastMeterReading = usedPct;
         double fade = Math.exp(-Math.max(0, now - c.meterShareAt) / DEMAND_AVERAGING_MS);
@@ -563,9 +570,9 @@
 
     @Override
     public void processCountChanged(double now, int count) {
-        double kept = Math.min(1, (double) processes / count); // what is stored goes to new ones evenly
+        double kept = Math.min(1, (double) processCount / count); // what is stored goes to new ones evenly
         customers.values().forEach(c -> touch(now, c));
-        processes = count;
+        processCount = count;
         for (CustomerState c : customers.values()) {
             c.ownTokens *= kept;
             c.spareUnits *= kept;
@@ -582,9 +589,9 @@
     public void restoreCustomers(double now, List<CustomerSnapshot> memory) {
         for (CustomerSnapshot r : memory) {
             boolean known = customers.containsKey(r.customer());
-            if (known || r.plan() < 0 || r.plan() >= set.plans().size()) continue;
+            if (known || r.plan() < 0 || r.plan() >= settings.plans().size()) continue;
             CustomerState c = customer(now, r.customer(), r.plan(), r.first(), r.spread());
-            c.restore(r, processes);
+            c.restore(r, processCount);
         }
     }
 
@@ -592,8 +599,8 @@
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
     private boolean counts(CustomerState c) {
-        return set.coordination().hasCounter()
-                && !set.limits().peerMessages()
+        return settings.coordination().hasCounter()
+                && !settings.limits().peerMessages()
                 && c.spread > 1
                 && c.plan.rate() > 0
                 && !c.plan.excessPays();
@@ -615,8 +622,8 @@
         if (wide(c)) c.counterWindow = c.windowAt(now, COUNTER_LIFETIME_MS);
         c.beginCall(now);
         unreportedCustomers.remove(c);
-        budget.recordCall(now);
-        act.addToCounter(c.counterName(wide(c)), c.callUnits, COUNTER_LIFETIME_MS);
+        callBudget.recordCall(now);
+        actions.addToCounter(c.counterName(wide(c)), c.callUnits, COUNTER_LIFETIME_MS);
     }
 
     @Override
@@ -626,8 +633,8 @@
         touch(now, c);
         c.callInFlight = false;
         boolean told = outcome == Outcome.OK;
-        budget.recordAnswer(now, now - c.counterCalledAt, told);
-        if (told) counterToldAt = now;
+        callBudget.recordAnswer(now, now - c.counterCalledAt, told);
+        if (told) counterAnsweredAt = now;
         if (told && wide(c)) learnWindow(now, c, total);
         else if (told) learnTotal(now, c, total);
         if (outcome.neverRan()) c.unreportedUnits += c.callUnits - c.expiredUnitsInCall;
@@ -668,7 +675,7 @@
 
     private void learnRoom(double now, RequestState ask, boolean room) {
         CustomerState c = ask.customer;
-        estimates[c.planNumber].record(ask.evidence, room);
+        admissionEstimates[c.planNumber].record(ask.evidence, room);
         ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
         c.counterVerdict = CounterVerdict.of(room, c.fullness());
     }
@@ -677,7 +684,9 @@
     private boolean worthCalling(double now, CustomerState c) {
         double each = wide(c) ? CORRECTION_WORTH_SHARE : c.spread * (1 - c.fullness());
         double units = Math.min(c.plan.burst(), each * Math.abs(c.unreportedUnits) + c.expiredUnits);
-        return units > 0 && budget.hasSavedCall(now) && units * c.plan.valueFactor() * meanWorth >= budget.price(now);
+        return units > 0
+                && callBudget.hasSavedCall(now)
+                && units * c.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
@@ -722,7 +731,7 @@
         CustomerState c = ask.customer;
         int keeper = stage < c.owners.length ? keeper(now, c, stage) : -1;
         if (keeper < 0
-                || keeper == set.gatewayNumber()
+                || keeper == settings.gatewayNumber()
                 || now + OWNER_ANSWER_TIMEOUT_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
@@ -735,7 +744,7 @@
         ask.querySerial = peers[keeper].sentSerial + 1; // of the next message: the last one did not ask for it
         ask.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
-        questions.add(ask);
+        ownerQueries.add(ask);
         c.ownerNotifiedAt = now;
         queue(peers[keeper], c);
     }
@@ -744,15 +753,15 @@
         if (in) letIn(now, ask);
         if (in) return;
         close(now, ask);
-        act.refuse(ask.details.id(), retryAfter(now, ask.customer, ask.details.units()), ask.refusal);
+        actions.refuse(ask.details.id(), retryAfter(now, ask.customer, ask.details.units()), ask.refusal);
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
     private void missAnswers(double now) {
-        questions.removeIf(a -> a.closed || a.admitted);
+        ownerQueries.removeIf(a -> a.closed || a.admitted);
         for (RequestState ask :
-                questions.stream().filter(a -> now >= a.answerDueAt).toList()) {
-            questions.remove(ask);
+                ownerQueries.stream().filter(a -> now >= a.answerDueAt).toList()) {
+            ownerQueries.remove(ask);
             peers[ask.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
             touch(now, ask.customer);
             question(now, ask, ask.ownerIndex + 1);
@@ -763,14 +772,14 @@
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
     private void changed(double now, CustomerState c) {
-        if (!set.limits().peerMessages() || c.spread == 1) return;
+        if (!settings.limits().peerMessages() || c.spread == 1) return;
         int keeper = keeper(now, c, 0);
-        if (keeper != set.gatewayNumber()) {
+        if (keeper != settings.gatewayNumber()) {
             c.ownerNotifiedAt = now;
             if (keeper >= 0) queue(peers[keeper], c);
         } else if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) {
             c.ownerNotifiedAt = now;
-            IntStream.of(c.owners).filter(k -> k != set.gatewayNumber()).forEach(k -> queue(peers[k], c));
+            IntStream.of(c.owners).filter(k -> k != settings.gatewayNumber()).forEach(k -> queue(peers[k], c));
         }
     }
 
@@ -782,13 +791,14 @@
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
     private void post(double now) {
-        double rate = Math.max(1, set.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
-        mail = Math.min(Math.max(1, rate * PEER_MESSAGE_BURST_MS), mail + (now - mailAt) * rate / 2);
-        mailAt = now;
+        double rate = Math.max(1, settings.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
+        messageTokens =
+                Math.min(Math.max(1, rate * PEER_MESSAGE_BURST_MS), messageTokens + (now - messageTokensAt) * rate / 2);
+        messageTokensAt = now;
         double gap = Math.min(MAX_PEER_MESSAGE_GAP_MS, (peers.length - 1) / rate);
         for (PeerState peer : new ArrayList<>(outbox)) {
-            if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && mail < 1) continue;
-            if (peer.dueAnswers.isEmpty()) mail -= 1;
+            if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && messageTokens < 1) continue;
+            if (peer.dueAnswers.isEmpty()) messageTokens -= 1;
             tell(now, peer);
             if (!peer.dueReports.isEmpty() || !peer.dueAnswers.isEmpty()) continue;
             outbox.remove(peer);
@@ -808,7 +818,7 @@
             }
         }
         peer.sentAt = now;
-        act.sendPeerMessage(
+        actions.sendPeerMessage(
                 peer.number,
                 new PeerMessage(epoch, peer.epoch, peer.sentSerial, peer.receivedSerial, entries).encode());
     }
@@ -819,7 +829,7 @@
         boolean asked = keeper(now, c, 0) == keeper.number
                 || now < keeper.unresponsiveUntil
                 || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
-        boolean view = keeper(now, c, 0) == set.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
+        boolean view = keeper(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
                 asked,
@@ -863,7 +873,7 @@
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
         PeerMessage tell =
-                from < 0 || from >= peers.length || from == set.gatewayNumber() ? null : PeerMessage.decode(data);
+                from < 0 || from >= peers.length || from == settings.gatewayNumber() ? null : PeerMessage.decode(data);
         if (tell == null) return; // unknown sender, or damaged
         PeerState peer = peers[from];
         boolean sameLife = peer.heardFrom && tell.epoch() == peer.epoch;
@@ -878,7 +888,7 @@
         peer.unresponsiveUntil = DecisionState.NEVER;
         boolean toThisLife = tell.receiverEpoch() == epoch;
         for (PeerMessage.Entry e : tell.entries()) {
-            if (e.plan() >= set.plans().size()) continue;
+            if (e.plan() >= settings.plans().size()) continue;
             if (e.answer()) hearAnswer(now, peer, e, tell.receivedSerial(), toThisLife);
             else hearTell(now, peer, e);
         }
@@ -890,7 +900,7 @@
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         CustomerState c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
-        if (IntStream.of(c.owners).noneMatch(k -> k == set.gatewayNumber())) return;
+        if (IntStream.of(c.owners).noneMatch(k -> k == settings.gatewayNumber())) return;
         boolean unsure = unsure(now, c);
         boolean adopts = e.hasLevel() && (unsure || keeper(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
@@ -914,7 +924,7 @@
         m.grantedUnits = grants ? e.wantedUnits() : 0;
         m.bookedUnits = e.usedUnits() + m.grantedUnits;
         c.quotaLevel -= m.grantedUnits;
-        if (keeper(now, c, 0) == set.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
+        if (keeper(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
         if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
             c.capTokens -= e.wantedUnits();
             m.capUnitsGiven += e.wantedUnits();
@@ -957,7 +967,7 @@
             granted -= in ? units : 0;
             decide(now, ask, in);
             int first = c.owners[0]; // it did not book what another let in
-            if (in && peer.number != first && first != set.gatewayNumber()) queue(peers[first], c);
+            if (in && peer.number != first && first != settings.gatewayNumber()) queue(peers[first], c);
         }
     }
 
@@ -965,7 +975,7 @@
 
     /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
     private double bound() {
-        double even = perHost * Math.max(1, capacity) / (peers.length * processes);
+        double even = concurrencyPerHost * Math.max(1, warmCapacity) / (peers.length * processCount);
         return Math.max(1, even + BURST_HEADROOM * Math.sqrt(even) * (1 - 1.0 / peers.length));
     }
 
@@ -973,7 +983,7 @@
     private void release(double now) {
         double bound = bound();
         LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
-        while (inFlight < bound) {
+        while (attemptsInFlight < bound) {
             ClassState next = null;
             for (ClassState c : classes.values()) {
                 boolean earlier = next == null || c.virtualTime < next.virtualTime;
@@ -982,7 +992,7 @@
             if (next == null) return;
             if (!releaseOne(now, next)) stuck.add(next);
         }
-        waited = true;
+        requestsWaited = true;
     }
 
     private boolean releaseOne(double now, ClassState c) {
@@ -990,7 +1000,7 @@
             TrackedHost s = pick(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
-            turn = Math.max(turn, c.virtualTime);
+            virtualTime = Math.max(virtualTime, c.virtualTime);
             c.virtualTime += ask.expectedMs() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
             if (goesOn && c.releasedAt > DecisionState.NEVER) {
@@ -1011,9 +1021,9 @@
             if (ask.customer != null) ask.customer.unsentUnits -= ask.details.units();
         }
         a.begin();
-        watched.add(s);
-        inFlight++;
-        act.send(ask.details.id(), s.info.id(), 0);
+        busyHosts.add(s);
+        attemptsInFlight++;
+        actions.send(ask.details.id(), s.info.id(), 0);
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
@@ -1045,12 +1055,12 @@
         close(now, ask);
         // A place may be had once what is held now has left.
         double wait = waitTold(ask.classState.queue.size() * ask.classState.meanReleaseGap);
-        if (harmless) act.refuse(ask.details.id(), wait, Refusal.PLACE);
-        else act.fail(ask.details.id());
+        if (harmless) actions.refuse(ask.details.id(), wait, Refusal.PLACE);
+        else actions.fail(ask.details.id());
     }
 
     private void close(double now, RequestState ask) {
-        if (!ask.hasAttemptInFlight()) asks.remove(ask.details.id());
+        if (!ask.hasAttemptInFlight()) requests.remove(ask.details.id());
         if (ask.closed) return;
         ask.closed = true;
         ask.classState.queue.remove(ask);
@@ -1067,21 +1077,23 @@
     }
 
     private void adaptBound(double now) {
-        if (now - boundAt < CONCURRENCY_INTERVAL_MS) return;
+        if (now - concurrencyAdjustedAt < CONCURRENCY_INTERVAL_MS) return;
         // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
-        if (answers > 0
-                && answers < CONCURRENCY_MIN_ANSWERS
-                && now - boundAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
-        boundAt = now;
-        if (answers > 0) {
-            boolean stretched =
-                    latencySum > QUEUEING_LATENCY_RATIO * baseSum && aimShareSum > HARMLESS_GOAL_SHARE * answers
-                            || aimShareSum > QUEUEING_GOAL_SHARE * answers;
-            if (stretched) perHost = Math.max(MIN_CONCURRENCY_PER_HOST, perHost * CONCURRENCY_DECREASE);
-            else if (waited) perHost = Math.min(MAX_CONCURRENCY_PER_HOST, perHost * CONCURRENCY_INCREASE);
+        if (answerCount > 0
+                && answerCount < CONCURRENCY_MIN_ANSWERS
+                && now - concurrencyAdjustedAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
+        concurrencyAdjustedAt = now;
+        if (answerCount > 0) {
+            boolean stretched = latencySum > QUEUEING_LATENCY_RATIO * baselineSum
+                            && goalShareSum > HARMLESS_GOAL_SHARE * answerCount
+                    || goalShareSum > QUEUEING_GOAL_SHARE * answerCount;
+            if (stretched)
+                concurrencyPerHost = Math.max(MIN_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_DECREASE);
+            else if (requestsWaited)
+                concurrencyPerHost = Math.min(MAX_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_INCREASE);
         }
-        latencySum = baseSum = aimShareSum = 0;
-        answers = 0;
+        latencySum = baselineSum = goalShareSum = 0;
+        answerCount = 0;
         classes.values().forEach(c -> c.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
     }
 
@@ -1092,15 +1104,16 @@
     }
 
     private void weighClasses(double now) {
-        if (now - delayAt < DELAY_INTERVAL_MS) return;
-        delayAt = now;
+        if (now - delayIntervalEndedAt < DELAY_INTERVAL_MS) return;
+        delayIntervalEndedAt = now;
         classes.values().forEach(c -> c.endDelayInterval(ALPHA));
-        if (now - donateAt < donateGap) return;
-        donateAt = now;
-        if (waited) classes.values().forEach(c -> c.measureSlope(goal(c) * EPSILON));
-        boolean gave = waited && donate(new ArrayList<>(classes.values()));
-        donateGap = gave ? Math.min(MAX_DONATION_INTERVAL_MS, donateGap * 2) : MIN_DONATION_INTERVAL_MS;
-        waited = false;
+        if (now - donatedAt < donationIntervalMs) return;
+        donatedAt = now;
+        if (requestsWaited) classes.values().forEach(c -> c.measureSlope(goal(c) * EPSILON));
+        boolean gave = requestsWaited && donate(new ArrayList<>(classes.values()));
+        donationIntervalMs =
+                gave ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
+        requestsWaited = false;
     }
 
     /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
@@ -1142,9 +1155,8 @@
 
     @Override
     public int avoidedHostCount(double now) {
-        return (int) servers.values().stream()
-                .filter(s -> s.listed && avoids(now, s))
-                .count();
+        return (int)
+                hosts.values().stream().filter(s -> s.listed && avoids(now, s)).count();
     }
 
     /** A host that drains, or that is taken to be in trouble for every class. */
@@ -1154,21 +1166,21 @@
 
     /** Counts the hosts in use, so that each event needs only look-ups. */
     private void survey(double now) {
-        surveyedAt = now;
-        usable.clear();
-        capacity = 0;
-        for (TrackedHost s : servers.values()) {
+        hostsRefreshedAt = now;
+        eligibleHosts.clear();
+        warmCapacity = 0;
+        for (TrackedHost s : hosts.values()) {
             if (!s.isEligible()) continue;
-            usable.add(s);
-            capacity += s.health.slowness(now) < FULL_HOST_SLOWNESS ? s.capacityShare(now, set.rules()) : 0;
+            eligibleHosts.add(s);
+            warmCapacity += s.health.slowness(now) < FULL_HOST_SLOWNESS ? s.capacityShare(now, settings.rules()) : 0;
         }
         // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
         // each, and tables that do not fill where there are hundreds of gateways.
-        usable.sort(Comparator.comparing(s -> s.info.id().hashCode()));
-        homes.clear();
-        int kept = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * usable.size() / peers.length);
-        for (int i = 0; i < Math.min(kept, usable.size()); i++) {
-            homes.add(usable.get((int) (((long) set.gatewayNumber() * kept + i) % usable.size())));
+        eligibleHosts.sort(Comparator.comparing(s -> s.info.id().hashCode()));
+        subset.clear();
+        int kept = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * eligibleHosts.size() / peers.length);
+        for (int i = 0; i < Math.min(kept, eligibleHosts.size()); i++) {
+            subset.add(eligibleHosts.get((int) (((long) settings.gatewayNumber() * kept + i) % eligibleHosts.size())));
         }
     }
 
@@ -1178,19 +1190,19 @@
      * attempts out can tell apart, and where that is all of them, all.
      */
     private TrackedHost pick(double now, RequestState ask) {
-        int draws = Math.min(homes.size(), MIN_CANDIDATES + 2 * inFlight);
-        TrackedHost best = best(now, ask, ownCounts() ? homes : drawn(now, ask.classState, draws), draws);
-        return best != null ? best : best(now, ask, usable, usable.size());
+        int draws = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
+        TrackedHost best = best(now, ask, ownCounts() ? subset : drawn(now, ask.classState, draws), draws);
+        return best != null ? best : best(now, ask, eligibleHosts, eligibleHosts.size());
     }
 
     private boolean ownCounts() {
-        return MIN_CANDIDATES + 2 * inFlight >= homes.size();
+        return MIN_CANDIDATES + 2 * attemptsInFlight >= subset.size();
     }
 
     private Collection<TrackedHost> drawn(double now, ClassState c, int draws) {
         LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * MAX_SCANNED && drawn.size() < draws; i++) {
-            TrackedHost s = homes.get(random.nextInt(homes.size()));
+            TrackedHost s = subset.get(random.nextInt(subset.size()));
             if (random.nextDouble() * slowness(now, s, c) <= 1) drawn.add(s);
         }
         return drawn;
@@ -1202,8 +1214,8 @@
         for (TrackedHost s : among) {
             if (!s.isEligible() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
-            double ramp = s.capacityShare(now, set.rules());
-            double share = COLD_ALLOWANCE_SHARE * set.rules().fallMultiple() * ramp;
+            double ramp = s.capacityShare(now, settings.rules());
+            double share = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * ramp;
             if (ramp < 1 && random.nextDouble() * draws > share) continue;
             double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
             if (score < bestScore) best = s;
@@ -1219,8 +1231,8 @@
             if (a.host == s) doubt *= FULL_HOST_SLOWNESS;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
-        return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, set.rules()) + zone;
+        double zone = !ownCounts() || s.info.zone().equals(settings.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
+        return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, settings.rules()) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
@@ -1242,7 +1254,7 @@
     private double windowMs(RequestClass spec) {
         return Math.min(
                 KEY_WINDOW_SHARE * spec.keyWindowMs(),
-                spec.keyWindowMs() - set.limits().connectTimeoutMs());
+                spec.keyWindowMs() - settings.limits().connectTimeoutMs());
     }
 
     private boolean mayTryAgain(double now, RequestState ask) {
@@ -1250,7 +1262,7 @@
                 && !ask.streaming
                 && now < giveUpAt(ask)
                 && retryTokens >= 1
-                && ask.attempts.size() < set.limits().maxAttempts();
+                && ask.attempts.size() < settings.limits().maxAttempts();
         retryTokens -= may ? 1 : 0;
         return may;
     }
@@ -1266,7 +1278,7 @@
                 c.samples++;
                 c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
                 c.recordDelay(0, r.latencyMs());
-                if (ask.customer != null && set.coordination().postPaid() && r.actualUnits() > 0) {
+                if (ask.customer != null && settings.coordination().postPaid() && r.actualUnits() > 0) {
                     charge(now, ask.customer, r.actualUnits() - ask.details.units(), 0);
                     if (ask.countedInTotal) addUnreported(ask.customer, r.actualUnits() - ask.details.units());
                 }
@@ -1279,15 +1291,15 @@
         }
         if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
             latencySum += r.latencyMs(); // a time-out is an answer at least that late
-            baseSum += c.baselineLatency * ask.details.units();
-            aimShareSum += r.latencyMs() / c.spec.goalMs();
-            answers++;
+            baselineSum += c.baselineLatency * ask.details.units();
+            goalShareSum += r.latencyMs() / c.spec.goalMs();
+            answerCount++;
         }
         if (ask.customer != null) meter(now, ask.customer, r.meterReading());
     }
 
     private void watchHealth(double now) {
-        for (TrackedHost s : new ArrayList<>(watched)) {
+        for (TrackedHost s : new ArrayList<>(busyHosts)) {
             for (Attempt a : new ArrayList<>(s.attemptsInFlight)) {
                 double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
                 if (a.overdue || now - a.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS) continue;
@@ -1295,8 +1307,8 @@
                 s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
                 boolean useful = !a.request.closed && !a.request.streaming && now + a.expectedMs < giveUpAt(a.request);
                 boolean safe = a.request.classState.spec.effect() != Effect.ONCE
-                        && set.limits().mayCancel();
-                if (useful && safe && retryTokens >= 1) act.cancel(a.request.details.id(), a.number);
+                        && settings.limits().mayCancel();
+                if (useful && safe && retryTokens >= 1) actions.cancel(a.request.details.id(), a.number);
             }
         }
     }
@@ -1308,6 +1320,6 @@
         customers
                 .values()
                 .removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS && c.openRequests == 0 && c.pending.isEmpty());
-        servers.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
+        hosts.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
     }
 }
