--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -191,20 +191,20 @@
         if (cls == null) actions.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
         if (cls == null) return;
         Integer plan = planNumbers.get(r.plan());
-        CustomerState c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
+        CustomerState c = plan == null ? null : customerState(now, r.customer(), plan, r.first(), r.spread());
         RequestState ask = new RequestState(r, cls, c, now);
         requests.put(r.id(), ask);
-        switch (c == null ? Verdict.IN : judge(now, ask)) {
-            case IN -> letIn(now, ask);
-            case OUT -> decide(now, ask, false);
-            case COUNT -> askCounter(now, ask);
+        switch (c == null ? AdmissionVerdict.ADMIT : decideAdmission(now, ask)) {
+            case ADMIT -> admit(now, ask);
+            case REFUSE -> admitOrRefuse(now, ask, false);
+            case ASK_COUNTER -> askCounter(now, ask);
             default -> question(now, ask, 0);
         }
         if (c != null && ask.admitted) changed(now, c);
         post(now);
     }
 
-    private void letIn(double now, RequestState ask) {
+    private void admit(double now, RequestState ask) {
         ClassState cls = ask.classState;
         ask.admitted = true;
         CustomerState c = ask.customer;
@@ -273,14 +273,14 @@
 
     // ---- admission by parts
 
-    private enum Verdict {
-        IN,
-        OUT,
-        ASK,
-        COUNT
+    private enum AdmissionVerdict {
+        ADMIT,
+        REFUSE,
+        ASK_OWNER,
+        ASK_COUNTER
     }
 
-    private CustomerState customer(double now, long id, int plan, int first, int spread) {
+    private CustomerState customerState(double now, long id, int plan, int first, int spread) {
         CustomerState c = customers.get(id);
         if (c == null || c.planNumber != plan) {
             Plan p = settings.plans().get(plan);
@@ -288,54 +288,54 @@
             int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, OWNER_COUNT);
             c = new CustomerState(id, plan, p, first, wide, keepers, now);
             c.quotaLevel = p.burst();
-            c.spareUnits = spareHold(c, 1.0 / wide);
+            c.spareUnits = maxSpareUnits(c, 1.0 / wide);
             // Less than one request is no use, but a free one in each gateway of a wide set is many bursts.
-            c.ownTokens = wide(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, leastHold(p));
+            c.ownTokens = hasWideSet(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, minBucketSize(p));
             // The ceiling's store starts with what has filled since this gateway started, never with a burst:
             // before a restart this gateway may have spent it (rule 5).
-            double filled = (now - startedAt) / 1000 * p.capRate() * ceilingShare(c);
-            c.capTokens = Math.min(ceilingHold(c), filled);
+            double filled = (now - startedAt) / 1000 * p.capRate() * capShare(c);
+            c.capTokens = Math.min(maxCapTokens(c), filled);
             customers.put(id, c);
         }
-        touch(now, c);
+        refill(now, c);
         return c;
     }
 
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double ceilingShare(CustomerState c) {
+    private double capShare(CustomerState c) {
         if (c.spread == 1) return 1;
         return (c.owners[0] == settings.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
                 + (1 - PRIMARY_OWNER_CAP_SHARE) / c.spread;
     }
 
-    private double ceilingHold(CustomerState c) {
-        return c.plan.capBurst() * ceilingShare(c);
+    private double maxCapTokens(CustomerState c) {
+        return c.plan.capBurst() * capShare(c);
     }
 
-    private void touch(double now, CustomerState c) {
+    private void refill(double now, CustomerState c) {
         double s = (now - c.refilledAt) / 1000;
         if (s <= 0) return;
         double fade = Math.exp(-(now - c.refilledAt) / DEMAND_AVERAGING_MS);
         Plan p = c.plan;
-        double part = part(now, c);
+        double part = processShare(now, c);
         c.demand *= fade;
         c.othersDemand *= fade;
         c.refilledAt = now;
-        if (!wide(c)) c.reduceUnreported(part * p.rate() * s * c.fullness());
+        if (!hasWideSet(c)) c.reduceUnreported(part * p.rate() * s * c.fullness());
         c.quotaLevel = Math.min(p.burst(), c.quotaLevel + p.rate() * s);
         double left = Math.max(0, p.rate() - othersRate(c)) / processCount;
-        c.spareUnits = Math.min(spareHold(c, part), c.spareUnits + left * s);
-        c.ownTokens = Math.min(Math.max(part * p.burst(), leastHold(p)), c.ownTokens + part * p.rate() * s);
+        c.spareUnits = Math.min(maxSpareUnits(c, part), c.spareUnits + left * s);
+        c.ownTokens = Math.min(Math.max(part * p.burst(), minBucketSize(p)), c.ownTokens + part * p.rate() * s);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.capTokens = Math.min(ceilingHold(c) - c.unsentUnits, c.capTokens + p.capRate() * ceilingShare(c) * s);
+        c.capTokens = Math.min(maxCapTokens(c) - c.unsentUnits, c.capTokens + p.capRate() * capShare(c) * s);
     }
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
-    private double spareHold(CustomerState c, double part) {
+    private double maxSpareUnits(CustomerState c, double part) {
         return c.plan.burst() * (part + (1.0 / processCount - part) * OTHERS_FREE_SHARE);
     }
 
-    private double leastHold(Plan p) {
+    private double minBucketSize(Plan p) {
         return Math.min(p.burst(), settings.coordination().maxUnitsPerRequest());
     }
 
@@ -350,43 +350,44 @@
      * of their quota, and what one gateway's bucket lacks then lies in the others'. Without a meter that is a
      * guess which all of a set make alike: it is left to the plans whose excess costs little.
      */
-    private boolean spares(CustomerState c, double units) {
+    private boolean hasSpareUnits(CustomerState c, double units) {
         double unseen = othersRate(c) * METER_LAG_MS / 1000;
-        boolean guesses = settings.coordination().meterPeriodMs() > 0 || !costly(c.plan);
+        boolean guesses = settings.coordination().meterPeriodMs() > 0 || !hasCostlyExcess(c.plan);
         return guesses && !settings.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double part(double now, CustomerState c) {
-        return partOfAll(now, c) / processCount;
+    private double processShare(double now, CustomerState c) {
+        return gatewayShare(now, c) / processCount;
     }
 
     /** The part of all processes of this gateway. */
-    private double partOfAll(double now, CustomerState c) {
+    private double gatewayShare(double now, CustomerState c) {
         if (c.spread == 1) return 1;
         if (!settings.limits().peerMessages()) return now - c.meterAt < STALE_LEVEL_MS ? c.meterShare : 1.0 / c.spread;
-        if (now - c.sharedLevelAt > STALE_LEVEL_MS && keeper(now, c, 0) != settings.gatewayNumber())
+        if (now - c.sharedLevelAt > STALE_LEVEL_MS && decidingOwner(now, c, 0) != settings.gatewayNumber())
             return 1.0 / c.spread;
         double prior = EVEN_SHARE_PRIOR * c.plan.rate();
         return (c.demand + prior / c.spread) / (c.demand + c.othersDemand + prior);
     }
 
     /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int keeper(double now, CustomerState c, int stage) {
+    private int decidingOwner(double now, CustomerState c, int stage) {
         for (int i = stage; i < c.owners.length; i++) {
             int k = c.owners[i];
             boolean last = i == c.owners.length - 1;
-            if (k == settings.gatewayNumber() ? last || !unsure(now, c) : now >= peers[k].unresponsiveUntil) return k;
+            if (k == settings.gatewayNumber() ? last || !isUninformed(now, c) : now >= peers[k].unresponsiveUntil)
+                return k;
         }
         return c.owners[0] == settings.gatewayNumber() ? settings.gatewayNumber() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean unsure(double now, CustomerState c) {
+    private boolean isUninformed(double now, CustomerState c) {
         return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
     }
 
-    private Verdict judge(double now, RequestState ask) {
+    private AdmissionVerdict decideAdmission(double now, RequestState ask) {
         CustomerState c = ask.customer;
         double units = ask.details.units();
         c.demand += units / DEMAND_AVERAGING_MS * 1000;
@@ -394,42 +395,45 @@
         meanWorth += MEAN_WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
         callBudget.updateMinPrice(settings.coordination().counterCallPrice(), meanWorth);
         boolean limited = p.rate() > 0 && !p.excessPays();
-        boolean full = !p.excessPays() && !openAdmits(now, c);
+        boolean full = !p.excessPays() && !isBelowOpenLimit(now, c);
         if (full || limited && c.quotaLevel < units) {
             ask.refusal = full ? Refusal.OPEN : Refusal.QUOTA;
             if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) changed(now, c);
-            return Verdict.OUT;
+            return AdmissionVerdict.REFUSE;
         }
         if (limited) ask.evidence = evidence(now, ask);
-        if (limited && wide(c)) return judgeWide(now, ask);
+        if (limited && hasWideSet(c)) return decideWideSet(now, ask);
         boolean asks = settings.limits().peerMessages() && c.spread > 1;
-        int keeper = keeper(now, c, 0);
+        int keeper = decidingOwner(now, c, 0);
         boolean room = !limited
                 || keeper == settings.gatewayNumber() && asks
                 || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_LEVEL_MS)
-                || spares(c, units)
-                || (asks || counts(c))
+                || hasSpareUnits(c, units)
+                || (asks || usesCounter(c))
                         && now - c.sharedLevelAt < FRESH_LEVEL_MS
-                        && c.quotaLevel - reserve(now, c) >= units;
+                        && c.quotaLevel - unseenUseReserve(now, c) >= units;
         boolean ceiling = p.capRate() <= 0 || c.capTokens >= units; // rule 5: own units need no peer
-        if (room && ceiling) return Verdict.IN;
+        if (room && ceiling) return AdmissionVerdict.ADMIT;
         ask.requestedUnits = units;
-        if (counts(c) && ceiling && draws(now, ask, chance(ask))) return Verdict.COUNT;
-        return asks ? Verdict.ASK : Verdict.OUT;
+        if (usesCounter(c) && ceiling && drawsCounterCall(now, ask, roomChance(ask)))
+            return AdmissionVerdict.ASK_COUNTER;
+        return asks ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
     }
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
-    private boolean partless(CustomerState c) {
+    private boolean hasTooSmallShares(CustomerState c) {
         return !settings.limits().peerMessages()
                 && c.plan.burst() / c.spread < settings.coordination().maxUnitsPerRequest();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
-    private boolean wide(CustomerState c) {
-        return partless(c) && c.plan.capRate() <= 0 && (settings.coordination().hasCounter() || costly(c.plan));
+    private boolean hasWideSet(CustomerState c) {
+        return hasTooSmallShares(c)
+                && c.plan.capRate() <= 0
+                && (settings.coordination().hasCounter() || hasCostlyExcess(c.plan));
     }
 
-    private boolean costly(Plan p) {
+    private boolean hasCostlyExcess(Plan p) {
         double mean = settings.plans().stream()
                 .mapToDouble(Plan::weightedExcessLoss)
                 .average()
@@ -441,51 +445,51 @@
      * A call is drawn by what it would save against the guess. What that lets in unasked is counted by those
      * drawn: each adds the units of the others that its draw stands for; the total is true in the mean.
      */
-    private Verdict judgeWide(double now, RequestState ask) {
+    private AdmissionVerdict decideWideSet(double now, RequestState ask) {
         CustomerState c = ask.customer;
         double units = ask.details.units();
         if (!settings.coordination().hasCounter())
-            return c.ownTokens >= units || spares(c, units) ? Verdict.IN : Verdict.OUT;
-        boolean in = guess(now, ask);
-        boolean foundEmpty = c.counterVerdict(now, recallMs(c.plan)) == CounterVerdict.EMPTY;
-        if (!in && foundEmpty) return Verdict.OUT; // asked a moment ago
-        boolean asks = draws(now, ask, in ? risk(now, ask) : chance(ask));
-        if (!asks && in) adaptMargin(ask, chance(ask));
-        if (!asks) return in ? Verdict.IN : Verdict.OUT;
-        ask.requestedUnits = chance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
+            return c.ownTokens >= units || hasSpareUnits(c, units) ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
+        boolean in = isAdmissionWorthwhile(now, ask);
+        boolean foundEmpty = c.counterVerdict(now, evidenceLifetimeMs(c.plan)) == CounterVerdict.EMPTY;
+        if (!in && foundEmpty) return AdmissionVerdict.REFUSE; // asked a moment ago
+        boolean asks = drawsCounterCall(now, ask, in ? expectedExcessCost(now, ask) : roomChance(ask));
+        if (!asks && in) adjustAdmissionMargin(ask, roomChance(ask));
+        if (!asks) return in ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
+        ask.requestedUnits = roomChance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
         ask.sampledUnits = in ? units * (1 / (ask.callProbability * callBudget.allowedShare()) - 1) : 0;
-        return Verdict.COUNT;
+        return AdmissionVerdict.ASK_COUNTER;
     }
 
     /** Whether a call is made that saves so much of a request's worth. */
-    private boolean draws(double now, RequestState ask, double saved) {
+    private boolean drawsCounterCall(double now, RequestState ask, double saved) {
         ask.callProbability = Math.min(1, ask.worth() * saved / callBudget.price(now));
         return random.nextDouble() < ask.callProbability && callBudget.allowsCall(now);
     }
 
-    private double chance(RequestState ask) {
+    private double roomChance(RequestState ask) {
         return admissionEstimates[ask.customer.planNumber].chance(ask.evidence);
     }
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
-    private double risk(double now, RequestState ask) {
+    private double expectedExcessCost(double now, RequestState ask) {
         boolean controlled = now - counterAnsweredAt < STALE_LEVEL_MS;
-        return (controlled ? admissionMargin : 1) * ask.customer.plan.excessLossRatio() * (1 - chance(ask));
+        return (controlled ? admissionMargin : 1) * ask.customer.plan.excessLossRatio() * (1 - roomChance(ask));
     }
 
     /** Whether it pays in the mean to let in what the counter is not asked about. */
-    private boolean guess(double now, RequestState ask) {
-        return chance(ask) > risk(now, ask);
+    private boolean isAdmissionWorthwhile(double now, RequestState ask) {
+        return roomChance(ask) > expectedExcessCost(now, ask);
     }
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
-    private void adaptMargin(RequestState ask, double chance) {
+    private void adjustAdmissionMargin(RequestState ask, double chance) {
         excessEstimate.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
         double step = excessEstimate.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
         admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * step));
     }
 
-    private static double recallMs(Plan p) {
+    private static double evidenceLifetimeMs(Plan p) {
         return EVIDENCE_BURSTS * 1000 * p.burst() / p.rate();
     }
 
@@ -493,42 +497,45 @@
     private int evidence(double now, RequestState ask) {
         CustomerState c = ask.customer;
         double perPeriod = c.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
-        double metered = now - c.meterAt < recallMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
+        double metered =
+                now - c.meterAt < evidenceLifetimeMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
         boolean hot = metered
                 > Math.max(perPeriod, OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, recallMs(c.plan)));
+        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, evidenceLifetimeMs(c.plan)));
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
-    private double reserve(double now, CustomerState c) {
+    private double unseenUseReserve(double now, CustomerState c) {
         double cost = c.plan.excessLossRatio();
         double rate = c.othersDemand + UNSEEN_USE_SHARE * c.plan.rate();
         return rate * (now - c.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
-    private boolean openAdmits(double now, CustomerState c) {
+    private boolean isBelowOpenLimit(double now, CustomerState c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.spread == 1
                 || settings.limits().peerMessages()
-                        && (keeper(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS);
+                        && (decidingOwner(now, c, 0) == settings.gatewayNumber()
+                                || now - c.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
                 || (fresh
                         ? c.openRequests + c.othersOpenRequests < limit
-                        : c.openRequests < Math.max(1, (int) (limit * part(now, c))));
+                        : c.openRequests < Math.max(1, (int) (limit * processShare(now, c))));
     }
 
     /** When the store will have filled enough; every refusal tells a time to come back. */
-    private double retryAfter(double now, CustomerState c, double units) {
-        if (c.plan.rate() <= 0) return waitTold(0);
+    private double retryAfterMs(double now, CustomerState c, double units) {
+        if (c.plan.rate() <= 0) return boundRetryAfterMs(0);
         double store = 1000 * (units - c.quotaLevel) / c.plan.rate();
-        double bucket = 1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_SHARE_PRIOR, part(now, c)));
-        return waitTold(
+        double bucket =
+                1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_SHARE_PRIOR, processShare(now, c)));
+        return boundRetryAfterMs(
                 settings.limits().peerMessages() || now - c.counterTotalAt < FRESH_LEVEL_MS
                         ? store
                         : Math.max(store, bucket));
     }
 
-    private double waitTold(double ms) {
+    private double boundRetryAfterMs(double ms) {
         double longest = settings.limits().maxRetryAfterMs();
         return longest > 0 ? Math.min(longest, Math.max(MIN_RETRY_AFTER_MS, ms)) : 0;
     }
@@ -539,7 +546,7 @@
         c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - units));
         c.spareUnits -= units;
         c.usedUnits += units;
-        if (counts(c) && !wide(c)) addUnreported(c, units);
+        if (usesCounter(c) && !hasWideSet(c)) addUnreported(c, units);
         c.usageHistory.add(now, units);
         c.unsentUnits += ceilingUnits;
         c.capTokens -= ceilingUnits;
@@ -549,7 +556,7 @@
      * The part follows the own use in the period that the meter tells of. Use of now over a total of long ago
      * would grow by itself: each gateway of the set would see its own share rise until the next figure.
      */
-    private void meter(double now, CustomerState c, int usedPct) {
+    private void applyMeterReading(double now, CustomerState c, int usedPct) {
         if (usedPct <= 0 || settings.limits().peerMessages() || c.plan.rate() <= 0) return;
         c.meterAt = now;
         double period = settings.coordination().meterPeriodMs();
@@ -571,7 +578,7 @@
     @Override
     public void processCountChanged(double now, int count) {
         double kept = Math.min(1, (double) processCount / count); // what is stored goes to new ones evenly
-        customers.values().forEach(c -> touch(now, c));
+        customers.values().forEach(c -> refill(now, c));
         processCount = count;
         for (CustomerState c : customers.values()) {
             c.ownTokens *= kept;
@@ -581,7 +588,7 @@
 
     @Override
     public List<CustomerSnapshot> snapshotCustomers(double now) {
-        customers.values().forEach(c -> touch(now, c));
+        customers.values().forEach(c -> refill(now, c));
         return customers.values().stream().map(CustomerState::snapshot).toList();
     }
 
@@ -590,7 +597,7 @@
         for (CustomerSnapshot r : memory) {
             boolean known = customers.containsKey(r.customer());
             if (known || r.plan() < 0 || r.plan() >= settings.plans().size()) continue;
-            CustomerState c = customer(now, r.customer(), r.plan(), r.first(), r.spread());
+            CustomerState c = customerState(now, r.customer(), r.plan(), r.first(), r.spread());
             c.restore(r, processCount);
         }
     }
@@ -598,7 +605,7 @@
     // ---- questions to the counter
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
-    private boolean counts(CustomerState c) {
+    private boolean usesCounter(CustomerState c) {
         return settings.coordination().hasCounter()
                 && !settings.limits().peerMessages()
                 && c.spread > 1
@@ -610,7 +617,7 @@
     private void askCounter(double now, RequestState ask) {
         CustomerState c = ask.customer;
         if (now + COUNTER_CALL_ALLOWANCE_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
-            decide(now, ask, false);
+            admitOrRefuse(now, ask, false);
             return;
         }
         c.pending.addLast(ask);
@@ -619,35 +626,35 @@
 
     /** Adds what was used and what is wanted: of two gateways the second then sees the first one's wish. */
     private void callCounter(double now, CustomerState c) {
-        if (wide(c)) c.counterWindow = c.windowAt(now, COUNTER_LIFETIME_MS);
+        if (hasWideSet(c)) c.counterWindow = c.windowAt(now, COUNTER_LIFETIME_MS);
         c.beginCall(now);
         unreportedCustomers.remove(c);
         callBudget.recordCall(now);
-        actions.addToCounter(c.counterName(wide(c)), c.callUnits, COUNTER_LIFETIME_MS);
+        actions.addToCounter(c.counterName(hasWideSet(c)), c.callUnits, COUNTER_LIFETIME_MS);
     }
 
     @Override
     public void counterCallEnded(double now, String counter, Outcome outcome, double total) {
         CustomerState c = customers.get(CustomerState.idOfCounterName(counter));
         if (c == null || !c.callInFlight) return;
-        touch(now, c);
+        refill(now, c);
         c.callInFlight = false;
         boolean told = outcome == Outcome.OK;
         callBudget.recordAnswer(now, now - c.counterCalledAt, told);
         if (told) counterAnsweredAt = now;
-        if (told && wide(c)) learnWindow(now, c, total);
-        else if (told) learnTotal(now, c, total);
+        if (told && hasWideSet(c)) applyWindowTotal(now, c, total);
+        else if (told) applyCounterTotal(now, c, total);
         if (outcome.neverRan()) c.unreportedUnits += c.callUnits - c.expiredUnitsInCall;
         if (!told) c.expiredUnitsInCall = 0; // by the next answer it shows whether it is still due
         List<RequestState> asked = c.callRequests;
         c.callRequests = List.of();
-        for (RequestState ask : asked) decideCounted(now, ask, told);
+        for (RequestState ask : asked) decideAfterCounterCall(now, ask, told);
         while (!told && !c.pending.isEmpty()) {
             RequestState next = c.pending.poll();
-            decide(now, next, wide(c) && guess(now, next));
+            admitOrRefuse(now, next, hasWideSet(c) && isAdmissionWorthwhile(now, next));
         }
         addUnreported(c, 0);
-        if (!c.pending.isEmpty() || wide(c) && told && worthCalling(now, c)) callCounter(now, c);
+        if (!c.pending.isEmpty() || hasWideSet(c) && told && isCounterCallWorthwhile(now, c)) callCounter(now, c);
         c.expiredUnits = 0;
         post(now);
     }
@@ -660,20 +667,21 @@
     }
 
     /** In a wide set what is let in is counted here; elsewhere it is charged anew. */
-    private void decideCounted(double now, RequestState ask, boolean told) {
+    private void decideAfterCounterCall(double now, RequestState ask, boolean told) {
         CustomerState c = ask.customer;
         double units = ask.details.units();
-        boolean room = told ? c.quotaLevel >= units : wide(c) ? guess(now, ask) : c.ownTokens >= units;
-        if (told) learnRoom(now, ask, room);
-        boolean in = room && !ask.closed && openAdmits(now, c);
-        ask.countedInTotal = in && wide(c);
+        boolean room =
+                told ? c.quotaLevel >= units : hasWideSet(c) ? isAdmissionWorthwhile(now, ask) : c.ownTokens >= units;
+        if (told) recordCounterVerdict(now, ask, room);
+        boolean in = room && !ask.closed && isBelowOpenLimit(now, c);
+        ask.countedInTotal = in && hasWideSet(c);
         c.unreportedUnits += (ask.countedInTotal ? units : 0) - ask.requestedUnits;
         if (told && !room) c.unreportedUnits -= ask.sampledUnits; // excess takes nothing
-        if (ask.countedInTotal) adaptMargin(ask, told ? 1 : chance(ask));
-        if (!ask.closed) decide(now, ask, in);
+        if (ask.countedInTotal) adjustAdmissionMargin(ask, told ? 1 : roomChance(ask));
+        if (!ask.closed) admitOrRefuse(now, ask, in);
     }
 
-    private void learnRoom(double now, RequestState ask, boolean room) {
+    private void recordCounterVerdict(double now, RequestState ask, boolean room) {
         CustomerState c = ask.customer;
         admissionEstimates[c.planNumber].record(ask.evidence, room);
         ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
@@ -681,8 +689,8 @@
     }
 
     /** What is to be put right in a count has a worth too, and waits where calls save more elsewhere. */
-    private boolean worthCalling(double now, CustomerState c) {
-        double each = wide(c) ? CORRECTION_WORTH_SHARE : c.spread * (1 - c.fullness());
+    private boolean isCounterCallWorthwhile(double now, CustomerState c) {
+        double each = hasWideSet(c) ? CORRECTION_WORTH_SHARE : c.spread * (1 - c.fullness());
         double units = Math.min(c.plan.burst(), each * Math.abs(c.unreportedUnits) + c.expiredUnits);
         return units > 0
                 && callBudget.hasSavedCall(now)
@@ -690,7 +698,7 @@
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
-    private void learnTotal(double now, CustomerState c, double total) {
+    private void applyCounterTotal(double now, CustomerState c, double total) {
         boolean anew = c.counterTotalAt == DecisionState.NEVER || total < c.counterTotal / 2;
         double others = total - c.callUnits - (anew ? 0 : c.counterTotal);
         c.applyCounterTotal(now, total, c.quotaLevel - others);
@@ -701,7 +709,7 @@
      * burst: what is left unused lapses. One call adds that to the count, once it is a burst or more; of two
      * that do so at once the second sees by its answer that it was not needed, and takes it back.
      */
-    private void learnWindow(double now, CustomerState c, double total) {
+    private void applyWindowTotal(double now, CustomerState c, double total) {
         double seconds = c.elapsedInWindowMs(now, COUNTER_LIFETIME_MS) / 1000;
         double left = c.plan.burst() + c.plan.rate() * seconds - (total - c.callRequestUnits());
         if (c.expiredUnitsInCall > 0 && left < c.plan.burst() - c.expiredUnitsInCall / 2)
@@ -716,11 +724,12 @@
     private void reportUsage(double now) {
         if (unreportedCustomers.isEmpty()) return;
         for (CustomerState c : new ArrayList<>(unreportedCustomers)) {
-            boolean ended = wide(c) && c.counterWindow != c.windowAt(now, COUNTER_LIFETIME_MS);
+            boolean ended = hasWideSet(c) && c.counterWindow != c.windowAt(now, COUNTER_LIFETIME_MS);
             if (ended) c.unreportedUnits = 0; // its name counts no more
             if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
-            else if (!c.callInFlight && now - c.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS && worthCalling(now, c))
-                callCounter(now, c);
+            else if (!c.callInFlight
+                    && now - c.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
+                    && isCounterCallWorthwhile(now, c)) callCounter(now, c);
         }
     }
 
@@ -729,13 +738,13 @@
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
     private void question(double now, RequestState ask, int stage) {
         CustomerState c = ask.customer;
-        int keeper = stage < c.owners.length ? keeper(now, c, stage) : -1;
+        int keeper = stage < c.owners.length ? decidingOwner(now, c, stage) : -1;
         if (keeper < 0
                 || keeper == settings.gatewayNumber()
                 || now + OWNER_ANSWER_TIMEOUT_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
-            decide(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
+            admitOrRefuse(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
             changed(now, c);
             return;
         }
@@ -749,11 +758,11 @@
         queue(peers[keeper], c);
     }
 
-    private void decide(double now, RequestState ask, boolean in) {
-        if (in) letIn(now, ask);
+    private void admitOrRefuse(double now, RequestState ask, boolean in) {
+        if (in) admit(now, ask);
         if (in) return;
         close(now, ask);
-        actions.refuse(ask.details.id(), retryAfter(now, ask.customer, ask.details.units()), ask.refusal);
+        actions.refuse(ask.details.id(), retryAfterMs(now, ask.customer, ask.details.units()), ask.refusal);
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
@@ -763,7 +772,7 @@
                 ownerQueries.stream().filter(a -> now >= a.answerDueAt).toList()) {
             ownerQueries.remove(ask);
             peers[ask.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
-            touch(now, ask.customer);
+            refill(now, ask.customer);
             question(now, ask, ask.ownerIndex + 1);
         }
     }
@@ -773,7 +782,7 @@
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
     private void changed(double now, CustomerState c) {
         if (!settings.limits().peerMessages() || c.spread == 1) return;
-        int keeper = keeper(now, c, 0);
+        int keeper = decidingOwner(now, c, 0);
         if (keeper != settings.gatewayNumber()) {
             c.ownerNotifiedAt = now;
             if (keeper >= 0) queue(peers[keeper], c);
@@ -813,7 +822,7 @@
         for (LinkedHashSet<CustomerState> due : List.of(peer.dueAnswers, peer.dueReports)) {
             for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
                 CustomerState c = it.next();
-                touch(now, c);
+                refill(now, c);
                 entries.add(due == peer.dueAnswers ? answer(now, c, peer) : tellOf(now, c, peer));
             }
         }
@@ -826,10 +835,10 @@
     private PeerMessage.Entry tellOf(double now, CustomerState c, PeerState keeper) {
         for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.sentSerial;
         double want = c.pendingUnits();
-        boolean asked = keeper(now, c, 0) == keeper.number
+        boolean asked = decidingOwner(now, c, 0) == keeper.number
                 || now < keeper.unresponsiveUntil
                 || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
-        boolean view = keeper(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
+        boolean view = decidingOwner(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
                 asked,
@@ -856,7 +865,7 @@
                 true,
                 false,
                 c.plan.capRate() > 0,
-                unsure(now, c),
+                isUninformed(now, c),
                 false,
                 c.id,
                 c.planNumber,
@@ -899,10 +908,10 @@
     private void hearTell(double now, PeerState peer, PeerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
-        CustomerState c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
+        CustomerState c = customerState(now, e.customer(), e.plan(), e.first(), e.spread());
         if (IntStream.of(c.owners).noneMatch(k -> k == settings.gatewayNumber())) return;
-        boolean unsure = unsure(now, c);
-        boolean adopts = e.hasLevel() && (unsure || keeper(now, c, 0) == peer.number);
+        boolean unsure = isUninformed(now, c);
+        boolean adopts = e.hasLevel() && (unsure || decidingOwner(now, c, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
             c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fullness() * c.plan.burst());
             c.informed = true;
@@ -924,7 +933,7 @@
         m.grantedUnits = grants ? e.wantedUnits() : 0;
         m.bookedUnits = e.usedUnits() + m.grantedUnits;
         c.quotaLevel -= m.grantedUnits;
-        if (keeper(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
+        if (decidingOwner(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
         if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
             c.capTokens -= e.wantedUnits();
             m.capUnitsGiven += e.wantedUnits();
@@ -939,10 +948,10 @@
     private void hearAnswer(double now, PeerState peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
         CustomerState c = customers.get(e.customer());
         if (c == null || c.planNumber != e.plan() || !toThisLife) return;
-        touch(now, c);
+        refill(now, c);
         MemberState m = c.member(peer);
         if (e.cap() && e.capUnitsGiven() > m.capUnitsTaken) {
-            c.capTokens = Math.min(ceilingHold(c) - c.unsentUnits, c.capTokens + e.capUnitsGiven() - m.capUnitsTaken);
+            c.capTokens = Math.min(maxCapTokens(c) - c.unsentUnits, c.capTokens + e.capUnitsGiven() - m.capUnitsTaken);
             m.capUnitsTaken = e.capUnitsGiven();
         }
         List<RequestState> judged = c.pending.stream()
@@ -965,7 +974,7 @@
             c.pending.remove(ask);
             boolean in = granted >= units && (c.plan.capRate() <= 0 || c.capTokens >= units);
             granted -= in ? units : 0;
-            decide(now, ask, in);
+            admitOrRefuse(now, ask, in);
             int first = c.owners[0]; // it did not book what another let in
             if (in && peer.number != first && first != settings.gatewayNumber()) queue(peers[first], c);
         }
@@ -1054,7 +1063,7 @@
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         close(now, ask);
         // A place may be had once what is held now has left.
-        double wait = waitTold(ask.classState.queue.size() * ask.classState.meanReleaseGap);
+        double wait = boundRetryAfterMs(ask.classState.queue.size() * ask.classState.meanReleaseGap);
         if (harmless) actions.refuse(ask.details.id(), wait, Refusal.PLACE);
         else actions.fail(ask.details.id());
     }
@@ -1295,7 +1304,7 @@
             goalShareSum += r.latencyMs() / c.spec.goalMs();
             answerCount++;
         }
-        if (ask.customer != null) meter(now, ask.customer, r.meterReading());
+        if (ask.customer != null) applyMeterReading(now, ask.customer, r.meterReading());
     }
 
     private void watchHealth(double now) {
