--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -181,8 +181,8 @@
         if (kind != HostListKind.CHANGES) hosts.values().forEach(s -> s.listed = false);
         updates.forEach(
                 h -> hosts.computeIfAbsent(h.id(), id -> new TrackedHost(h)).update(h));
-        survey(now);
-        release(now);
+        refreshHosts(now);
+        releaseQueued(now);
     }
 
     @Override
@@ -198,10 +198,10 @@
             case ADMIT -> admit(now, ask);
             case REFUSE -> admitOrRefuse(now, ask, false);
             case ASK_COUNTER -> askCounter(now, ask);
-            default -> question(now, ask, 0);
+            default -> askOwner(now, ask, 0);
         }
-        if (c != null && ask.admitted) changed(now, c);
-        post(now);
+        if (c != null && ask.admitted) notifyOwners(now, c);
+        flushOutbox(now);
     }
 
     private void admit(double now, RequestState ask) {
@@ -212,10 +212,10 @@
         if (c != null) charge(now, c, ask.details.units(), ask.details.units());
         if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, virtualTime);
         cls.queue.addLast(ask);
-        release(now);
+        releaseQueued(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
         boolean held = !ask.closed && ask.attempts.isEmpty();
-        if (held && now + cls.queue.size() * cls.meanReleaseGap >= giveUpAt(ask)) finish(now, ask);
+        if (held && now + cls.queue.size() * cls.meanReleaseGap >= holdDeadline(ask)) finishUnserved(now, ask);
     }
 
     @Override
@@ -233,22 +233,22 @@
         a.end(r.outcome());
         attemptsInFlight--;
         if (a.host.attemptsInFlight.isEmpty()) busyHosts.remove(a.host);
-        learn(now, ask, a, r);
+        recordOutcome(now, ask, a, r);
         if (r.requestClosed()) {
-            close(now, ask);
+            closeRequest(now, ask);
         } else if (!ask.closed && !ask.hasAttemptInFlight()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.classState.queue.addFirst(ask);
-            else finish(now, ask);
+            if (acquireRetry(now, ask) && r.outcome() != Outcome.MOOT) ask.classState.queue.addFirst(ask);
+            else finishUnserved(now, ask);
         }
         if (ask.closed && !ask.hasAttemptInFlight()) requests.remove(ask.details.id());
-        release(now);
+        releaseQueued(now);
     }
 
     @Override
     public void clientDisconnected(double now, String id) {
         RequestState ask = requests.get(id);
         if (ask == null) return;
-        close(now, ask);
+        closeRequest(now, ask);
         for (Attempt a : ask.attempts) {
             if (a.inFlight && settings.limits().mayCancel() && !ask.streaming) actions.cancel(id, a.number);
         }
@@ -259,16 +259,16 @@
         if (token.equals("watch")) actions.subscribeHosts();
         if (!token.equals("beat")) return;
         actions.startTimer(TICK_MS, "beat");
-        expire(now);
-        missAnswers(now);
+        expireQueued(now);
+        expireOwnerQueries(now);
         reportUsage(now);
-        if (now - hostsRefreshedAt >= HOST_REFRESH_INTERVAL_MS) survey(now);
-        watchHealth(now);
-        adaptBound(now);
-        weighClasses(now);
-        sweep(now);
-        release(now);
-        post(now);
+        if (now - hostsRefreshedAt >= HOST_REFRESH_INTERVAL_MS) refreshHosts(now);
+        checkOverdueAttempts(now);
+        adjustConcurrency(now);
+        adjustWeights(now);
+        evictIdle(now);
+        releaseQueued(now);
+        flushOutbox(now);
     }
 
     // ---- admission by parts
@@ -398,7 +398,7 @@
         boolean full = !p.excessPays() && !isBelowOpenLimit(now, c);
         if (full || limited && c.quotaLevel < units) {
             ask.refusal = full ? Refusal.OPEN : Refusal.QUOTA;
-            if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) changed(now, c);
+            if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) notifyOwners(now, c);
             return AdmissionVerdict.REFUSE;
         }
         if (limited) ask.evidence = evidence(now, ask);
@@ -656,7 +656,7 @@
         addUnreported(c, 0);
         if (!c.pending.isEmpty() || hasWideSet(c) && told && isCounterCallWorthwhile(now, c)) callCounter(now, c);
         c.expiredUnits = 0;
-        post(now);
+        flushOutbox(now);
     }
 
     /** What the next call is to add to a customer's count, or to take off it. */
@@ -736,7 +736,7 @@
     // ---- questions to keepers
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void question(double now, RequestState ask, int stage) {
+    private void askOwner(double now, RequestState ask, int stage) {
         CustomerState c = ask.customer;
         int keeper = stage < c.owners.length ? decidingOwner(now, c, stage) : -1;
         if (keeper < 0
@@ -745,7 +745,7 @@
             c.pending.remove(ask);
             boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
             admitOrRefuse(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
-            changed(now, c);
+            notifyOwners(now, c);
             return;
         }
         ask.ownerIndex = keeper == c.owners[0] ? 0 : c.owners.length - 1;
@@ -755,51 +755,51 @@
         if (!c.pending.contains(ask)) c.pending.addLast(ask);
         ownerQueries.add(ask);
         c.ownerNotifiedAt = now;
-        queue(peers[keeper], c);
+        enqueuePeer(peers[keeper], c);
     }
 
     private void admitOrRefuse(double now, RequestState ask, boolean in) {
         if (in) admit(now, ask);
         if (in) return;
-        close(now, ask);
+        closeRequest(now, ask);
         actions.refuse(ask.details.id(), retryAfterMs(now, ask.customer, ask.details.units()), ask.refusal);
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
-    private void missAnswers(double now) {
+    private void expireOwnerQueries(double now) {
         ownerQueries.removeIf(a -> a.closed || a.admitted);
         for (RequestState ask :
                 ownerQueries.stream().filter(a -> now >= a.answerDueAt).toList()) {
             ownerQueries.remove(ask);
             peers[ask.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
             refill(now, ask.customer);
-            question(now, ask, ask.ownerIndex + 1);
+            askOwner(now, ask, ask.ownerIndex + 1);
         }
     }
 
     // ---- tells between gateways
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void changed(double now, CustomerState c) {
+    private void notifyOwners(double now, CustomerState c) {
         if (!settings.limits().peerMessages() || c.spread == 1) return;
         int keeper = decidingOwner(now, c, 0);
         if (keeper != settings.gatewayNumber()) {
             c.ownerNotifiedAt = now;
-            if (keeper >= 0) queue(peers[keeper], c);
+            if (keeper >= 0) enqueuePeer(peers[keeper], c);
         } else if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) {
             c.ownerNotifiedAt = now;
-            IntStream.of(c.owners).filter(k -> k != settings.gatewayNumber()).forEach(k -> queue(peers[k], c));
+            IntStream.of(c.owners).filter(k -> k != settings.gatewayNumber()).forEach(k -> enqueuePeer(peers[k], c));
         }
     }
 
-    private void queue(PeerState peer, CustomerState told) {
+    private void enqueuePeer(PeerState peer, CustomerState told) {
         if (told != null) peer.dueReports.add(told);
         if (!peer.queued) outbox.addLast(peer);
         peer.queued = true;
     }
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
-    private void post(double now) {
+    private void flushOutbox(double now) {
         double rate = Math.max(1, settings.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
         messageTokens =
                 Math.min(Math.max(1, rate * PEER_MESSAGE_BURST_MS), messageTokens + (now - messageTokensAt) * rate / 2);
@@ -808,14 +808,14 @@
         for (PeerState peer : new ArrayList<>(outbox)) {
             if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && messageTokens < 1) continue;
             if (peer.dueAnswers.isEmpty()) messageTokens -= 1;
-            tell(now, peer);
+            sendMessage(now, peer);
             if (!peer.dueReports.isEmpty() || !peer.dueAnswers.isEmpty()) continue;
             outbox.remove(peer);
             peer.queued = false;
         }
     }
 
-    private void tell(double now, PeerState peer) {
+    private void sendMessage(double now, PeerState peer) {
         List<PeerMessage.Entry> entries = new ArrayList<>();
         int room = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.sentSerial++;
@@ -823,7 +823,7 @@
             for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
                 CustomerState c = it.next();
                 refill(now, c);
-                entries.add(due == peer.dueAnswers ? answer(now, c, peer) : tellOf(now, c, peer));
+                entries.add(due == peer.dueAnswers ? answerEntry(now, c, peer) : reportEntry(now, c, peer));
             }
         }
         peer.sentAt = now;
@@ -832,7 +832,7 @@
                 new PeerMessage(epoch, peer.epoch, peer.sentSerial, peer.receivedSerial, entries).encode());
     }
 
-    private PeerMessage.Entry tellOf(double now, CustomerState c, PeerState keeper) {
+    private PeerMessage.Entry reportEntry(double now, CustomerState c, PeerState keeper) {
         for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.sentSerial;
         double want = c.pendingUnits();
         boolean asked = decidingOwner(now, c, 0) == keeper.number
@@ -857,7 +857,7 @@
                 0);
     }
 
-    private PeerMessage.Entry answer(double now, CustomerState c, PeerState to) {
+    private PeerMessage.Entry answerEntry(double now, CustomerState c, PeerState to) {
         MemberState m = c.member(to);
         double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_AVERAGING_MS);
         double others = Math.max(0, c.demand + c.othersDemand - theirs);
@@ -898,14 +898,14 @@
         boolean toThisLife = tell.receiverEpoch() == epoch;
         for (PeerMessage.Entry e : tell.entries()) {
             if (e.plan() >= settings.plans().size()) continue;
-            if (e.answer()) hearAnswer(now, peer, e, tell.receivedSerial(), toThisLife);
-            else hearTell(now, peer, e);
+            if (e.answer()) handleAnswer(now, peer, e, tell.receivedSerial(), toThisLife);
+            else handleReport(now, peer, e);
         }
-        post(now);
+        flushOutbox(now);
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, PeerState peer, PeerMessage.Entry e) {
+    private void handleReport(double now, PeerState peer, PeerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         CustomerState c = customerState(now, e.customer(), e.plan(), e.first(), e.spread());
@@ -933,19 +933,19 @@
         m.grantedUnits = grants ? e.wantedUnits() : 0;
         m.bookedUnits = e.usedUnits() + m.grantedUnits;
         c.quotaLevel -= m.grantedUnits;
-        if (decidingOwner(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) changed(now, c);
+        if (decidingOwner(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) notifyOwners(now, c);
         if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
             c.capTokens -= e.wantedUnits();
             m.capUnitsGiven += e.wantedUnits();
         }
         if (e.replyWanted()) {
             peer.dueAnswers.add(c);
-            queue(peer, null);
+            enqueuePeer(peer, null);
         }
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, PeerState peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
+    private void handleAnswer(double now, PeerState peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
         CustomerState c = customers.get(e.customer());
         if (c == null || c.planNumber != e.plan() || !toThisLife) return;
         refill(now, c);
@@ -968,7 +968,7 @@
         for (RequestState ask : judged) {
             double units = ask.details.units();
             if (e.uninformed() && ask.ownerIndex + 1 < c.owners.length) {
-                question(now, ask, ask.ownerIndex + 1);
+                askOwner(now, ask, ask.ownerIndex + 1);
                 continue;
             }
             c.pending.remove(ask);
@@ -976,21 +976,21 @@
             granted -= in ? units : 0;
             admitOrRefuse(now, ask, in);
             int first = c.owners[0]; // it did not book what another let in
-            if (in && peer.number != first && first != settings.gatewayNumber()) queue(peers[first], c);
+            if (in && peer.number != first && first != settings.gatewayNumber()) enqueuePeer(peers[first], c);
         }
     }
 
     // ---- release
 
     /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
-    private double bound() {
+    private double concurrencyLimit() {
         double even = concurrencyPerHost * Math.max(1, warmCapacity) / (peers.length * processCount);
         return Math.max(1, even + BURST_HEADROOM * Math.sqrt(even) * (1 - 1.0 / peers.length));
     }
 
     /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
-    private void release(double now) {
-        double bound = bound();
+    private void releaseQueued(double now) {
+        double bound = concurrencyLimit();
         LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
         while (attemptsInFlight < bound) {
             ClassState next = null;
@@ -1006,7 +1006,7 @@
 
     private boolean releaseOne(double now, ClassState c) {
         for (RequestState ask : c.queue.stream().limit(MAX_SCANNED).toList()) {
-            TrackedHost s = pick(now, ask);
+            TrackedHost s = pickHost(now, ask);
             if (s == null) continue;
             c.queue.remove(ask);
             virtualTime = Math.max(virtualTime, c.virtualTime);
@@ -1016,13 +1016,13 @@
                 c.meanReleaseGap += RELEASE_GAP_GAIN * (now - c.releasedAt - c.meanReleaseGap);
             }
             c.releasedAt = goesOn ? now : DecisionState.NEVER;
-            send(now, ask, s);
+            sendAttempt(now, ask, s);
             return true;
         }
         return false;
     }
 
-    private void send(double now, RequestState ask, TrackedHost s) {
+    private void sendAttempt(double now, RequestState ask, TrackedHost s) {
         Attempt a = new Attempt(ask, s, now, ask.expectedMs());
         if (ask.attempts.isEmpty()) {
             retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_BUDGET_SHARE);
@@ -1036,7 +1036,7 @@
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double giveUpAt(RequestState ask) {
+    private double holdDeadline(RequestState ask) {
         double end = ask.details.deadlineMs() - DEADLINE_MARGIN_MS;
         if (ask.firstPossibleRun() != null) return end;
         double aim = ask.classState.spec.goalMs();
@@ -1045,30 +1045,30 @@
         return Math.min(end, ask.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * aim, hold));
     }
 
-    private void expire(double now) {
+    private void expireQueued(double now) {
         for (ClassState c : classes.values()) {
             for (RequestState ask :
-                    c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
+                    c.queue.stream().filter(a -> now >= holdDeadline(a)).toList()) {
                 c.recordDelay(now - ask.arrivedAt, 0);
-                finish(now, ask); // takes it from the queue
+                finishUnserved(now, ask); // takes it from the queue
             }
         }
     }
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finish(double now, RequestState ask) {
+    private void finishUnserved(double now, RequestState ask) {
         RequestClass spec = ask.classState.spec;
         boolean harmless = ask.firstPossibleRun() == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
-        close(now, ask);
+        closeRequest(now, ask);
         // A place may be had once what is held now has left.
         double wait = boundRetryAfterMs(ask.classState.queue.size() * ask.classState.meanReleaseGap);
         if (harmless) actions.refuse(ask.details.id(), wait, Refusal.PLACE);
         else actions.fail(ask.details.id());
     }
 
-    private void close(double now, RequestState ask) {
+    private void closeRequest(double now, RequestState ask) {
         if (!ask.hasAttemptInFlight()) requests.remove(ask.details.id());
         if (ask.closed) return;
         ask.closed = true;
@@ -1085,7 +1085,7 @@
         }
     }
 
-    private void adaptBound(double now) {
+    private void adjustConcurrency(double now) {
         if (now - concurrencyAdjustedAt < CONCURRENCY_INTERVAL_MS) return;
         // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
         if (answerCount > 0
@@ -1108,39 +1108,41 @@
 
     // ---- weights by donation
 
-    static double goal(ClassState c) {
+    static double delayGoalMs(ClassState c) {
         return c.spec.goalMs() * DELAY_GOAL_SHARE;
     }
 
-    private void weighClasses(double now) {
+    private void adjustWeights(double now) {
         if (now - delayIntervalEndedAt < DELAY_INTERVAL_MS) return;
         delayIntervalEndedAt = now;
         classes.values().forEach(c -> c.endDelayInterval(ALPHA));
         if (now - donatedAt < donationIntervalMs) return;
         donatedAt = now;
-        if (requestsWaited) classes.values().forEach(c -> c.measureSlope(goal(c) * EPSILON));
-        boolean gave = requestsWaited && donate(new ArrayList<>(classes.values()));
+        if (requestsWaited) classes.values().forEach(c -> c.measureSlope(delayGoalMs(c) * EPSILON));
+        boolean gave = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
         donationIntervalMs =
                 gave ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
         requestsWaited = false;
     }
 
     /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
-    static boolean donate(List<ClassState> all) {
+    static boolean donateWeight(List<ClassState> all) {
         ClassState worst = null;
         double surplus = 0;
         for (ClassState c : all) {
-            double over = c.meanDelay / goal(c);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / goal(worst))) worst = c;
+            double over = c.meanDelay / delayGoalMs(c);
+            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / delayGoalMs(worst))) worst = c;
             surplus += surplus(c);
         }
         if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask = worst.delaySlope > 0 ? (worst.meanDelay - goal(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
+        double ask =
+                worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
         for (ClassState c : all) {
             if (surplus(c) <= 0) continue;
-            double clamp =
-                    c.delaySlope > 0 ? ((1 - EPSILON) * goal(c) - c.meanDelay) / c.delaySlope : INITIAL_WEIGHT_STEP;
+            double clamp = c.delaySlope > 0
+                    ? ((1 - EPSILON) * delayGoalMs(c) - c.meanDelay) / c.delaySlope
+                    : INITIAL_WEIGHT_STEP;
             double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
             gift = Math.max(0, Math.min(gift, c.weight - MIN_WEIGHT));
             c.weight -= gift;
@@ -1151,8 +1153,8 @@
     }
 
     private static double surplus(ClassState c) {
-        if (c.meanDelay > (1 - EPSILON) * goal(c)) return 0;
-        return (goal(c) - c.meanDelay) / (c.delaySlope > 0 ? c.delaySlope : goal(c));
+        if (c.meanDelay > (1 - EPSILON) * delayGoalMs(c)) return 0;
+        return (delayGoalMs(c) - c.meanDelay) / (c.delaySlope > 0 ? c.delaySlope : delayGoalMs(c));
     }
 
     // ---- hosts
@@ -1164,17 +1166,18 @@
 
     @Override
     public int avoidedHostCount(double now) {
-        return (int)
-                hosts.values().stream().filter(s -> s.listed && avoids(now, s)).count();
+        return (int) hosts.values().stream()
+                .filter(s -> s.listed && isAvoided(now, s))
+                .count();
     }
 
     /** A host that drains, or that is taken to be in trouble for every class. */
-    private boolean avoids(double now, TrackedHost s) {
+    private boolean isAvoided(double now, TrackedHost s) {
         return !s.isEligible() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= UNHEALTHY_SLOWNESS);
     }
 
     /** Counts the hosts in use, so that each event needs only look-ups. */
-    private void survey(double now) {
+    private void refreshHosts(double now) {
         hostsRefreshedAt = now;
         eligibleHosts.clear();
         warmCapacity = 0;
@@ -1198,17 +1201,18 @@
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
      * attempts out can tell apart, and where that is all of them, all.
      */
-    private TrackedHost pick(double now, RequestState ask) {
+    private TrackedHost pickHost(double now, RequestState ask) {
         int draws = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
-        TrackedHost best = best(now, ask, ownCounts() ? subset : drawn(now, ask.classState, draws), draws);
-        return best != null ? best : best(now, ask, eligibleHosts, eligibleHosts.size());
+        TrackedHost best =
+                bestHost(now, ask, canCompareSubset() ? subset : drawCandidates(now, ask.classState, draws), draws);
+        return best != null ? best : bestHost(now, ask, eligibleHosts, eligibleHosts.size());
     }
 
-    private boolean ownCounts() {
+    private boolean canCompareSubset() {
         return MIN_CANDIDATES + 2 * attemptsInFlight >= subset.size();
     }
 
-    private Collection<TrackedHost> drawn(double now, ClassState c, int draws) {
+    private Collection<TrackedHost> drawCandidates(double now, ClassState c, int draws) {
         LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * MAX_SCANNED && drawn.size() < draws; i++) {
             TrackedHost s = subset.get(random.nextInt(subset.size()));
@@ -1217,11 +1221,11 @@
         return drawn;
     }
 
-    private TrackedHost best(double now, RequestState ask, Collection<TrackedHost> among, int draws) {
+    private TrackedHost bestHost(double now, RequestState ask, Collection<TrackedHost> among, int draws) {
         TrackedHost best = null;
         double bestScore = Double.MAX_VALUE;
         for (TrackedHost s : among) {
-            if (!s.isEligible() || !legal(now, ask, ask.firstPossibleRun(), s)) continue;
+            if (!s.isEligible() || !mayRunOn(now, ask, ask.firstPossibleRun(), s)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
             double ramp = s.capacityShare(now, settings.rules());
             double share = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * ramp;
@@ -1235,48 +1239,49 @@
 
     private double score(double now, RequestState ask, TrackedHost s) {
         double doubt = slowness(now, s, ask.classState);
-        if (!ownCounts() && doubt < UNHEALTHY_SLOWNESS) doubt = 1; // drawn by it already
+        if (!canCompareSubset() && doubt < UNHEALTHY_SLOWNESS) doubt = 1; // drawn by it already
         for (Attempt a : ask.attempts) {
             if (a.host == s) doubt *= FULL_HOST_SLOWNESS;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(settings.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
+        double zone =
+                !canCompareSubset() || s.info.zone().equals(settings.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
         return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, settings.rules()) + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, RequestState ask, Attempt ran, TrackedHost s) {
-        return repeatable(now, ask, ran)
+    private boolean mayRunOn(double now, RequestState ask, Attempt ran, TrackedHost s) {
+        return isRepeatable(now, ask, ran)
                 && (ran == null
                         || ask.classState.spec.effect() != Effect.KEYED
                         || ask.classState.spec.keyScope().dropsSameKeys(s.info, ran.host.info));
     }
 
-    private boolean repeatable(double now, RequestState ask, Attempt ran) {
+    private boolean isRepeatable(double now, RequestState ask, Attempt ran) {
         RequestClass spec = ask.classState.spec;
         return ran == null
                 || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && now < ran.sentAt + windowMs(spec);
+                || spec.effect() == Effect.KEYED && now < ran.sentAt + usableKeyWindowMs(spec);
     }
 
     /** A further attempt may first wait for a connection as long as one may take to come up. */
-    private double windowMs(RequestClass spec) {
+    private double usableKeyWindowMs(RequestClass spec) {
         return Math.min(
                 KEY_WINDOW_SHARE * spec.keyWindowMs(),
                 spec.keyWindowMs() - settings.limits().connectTimeoutMs());
     }
 
-    private boolean mayTryAgain(double now, RequestState ask) {
-        boolean may = repeatable(now, ask, ask.firstPossibleRun())
+    private boolean acquireRetry(double now, RequestState ask) {
+        boolean may = isRepeatable(now, ask, ask.firstPossibleRun())
                 && !ask.streaming
-                && now < giveUpAt(ask)
+                && now < holdDeadline(ask)
                 && retryTokens >= 1
                 && ask.attempts.size() < settings.limits().maxAttempts();
         retryTokens -= may ? 1 : 0;
         return may;
     }
 
-    private void learn(double now, RequestState ask, Attempt a, AttemptResult r) {
+    private void recordOutcome(double now, RequestState ask, Attempt a, AttemptResult r) {
         TrackedHost s = a.host;
         ClassState c = ask.classState;
         switch (r.outcome()) {
@@ -1307,14 +1312,15 @@
         if (ask.customer != null) applyMeterReading(now, ask.customer, r.meterReading());
     }
 
-    private void watchHealth(double now) {
+    private void checkOverdueAttempts(double now) {
         for (TrackedHost s : new ArrayList<>(busyHosts)) {
             for (Attempt a : new ArrayList<>(s.attemptsInFlight)) {
                 double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
                 if (a.overdue || now - a.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS) continue;
                 a.overdue = true;
                 s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
-                boolean useful = !a.request.closed && !a.request.streaming && now + a.expectedMs < giveUpAt(a.request);
+                boolean useful =
+                        !a.request.closed && !a.request.streaming && now + a.expectedMs < holdDeadline(a.request);
                 boolean safe = a.request.classState.spec.effect() != Effect.ONCE
                         && settings.limits().mayCancel();
                 if (useful && safe && retryTokens >= 1) actions.cancel(a.request.details.id(), a.number);
@@ -1322,7 +1328,7 @@
         }
     }
 
-    private void sweep(double now) {
+    private void evictIdle(double now) {
         if (now - sweptAt < SWEEP_INTERVAL_MS) return;
         sweptAt = now;
         unreportedCustomers.removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS);
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -40,7 +40,7 @@
         ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
         ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
         ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(DecisionModule.donate(List.of(slow, easy, idle)));
+        assertTrue(DecisionModule.donateWeight(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
         assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
@@ -50,8 +50,8 @@
     void donationIsClampedToWhatKeepsTheDonorContent() {
         ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
         ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        DecisionModule.donate(List.of(slow, donor));
-        double clamp = (0.9 * DecisionModule.goal(donor) - 500) / 1000;
+        DecisionModule.donateWeight(List.of(slow, donor));
+        double clamp = (0.9 * DecisionModule.delayGoalMs(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
     }
 
@@ -59,11 +59,11 @@
     void weightsStayPositiveAndFreezeWhenAllSuffer() {
         ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
         ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        DecisionModule.donate(List.of(a, b));
+        DecisionModule.donateWeight(List.of(a, b));
         assertTrue(a.weight > 0);
         ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
         ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(DecisionModule.donate(List.of(c, d)));
+        assertFalse(DecisionModule.donateWeight(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
@@ -72,11 +72,11 @@
         ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
         c.previousWeight = 0.4;
         c.previousDelay = 700; // more weight, more delay: the wrong sign
-        c.measureSlope(DecisionModule.goal(c) * 0.1);
+        c.measureSlope(DecisionModule.delayGoalMs(c) * 0.1);
         assertEquals(1234, c.delaySlope);
         c.weight = 0.6;
         c.meanDelay = 500;
-        c.measureSlope(DecisionModule.goal(c) * 0.1);
+        c.measureSlope(DecisionModule.delayGoalMs(c) * 0.1);
         assertEquals(3000, c.delaySlope, 1e-6);
     }
 
