--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -153,16 +153,16 @@
         epoch = (int) (long) now;
         peers = new PeerState[Math.max(1, initialSettings.gatewayCount())];
         Arrays.setAll(peers, PeerState::new);
-        double worth = initialSettings.classes().stream()
-                .mapToDouble(c -> Math.max(MIN_WEIGHT, c.worth()))
+        double totalWorth = initialSettings.classes().stream()
+                .mapToDouble(requestClass -> Math.max(MIN_WEIGHT, requestClass.worth()))
                 .sum();
-        for (RequestClass c : initialSettings.classes()) {
-            ClassState state = new ClassState(c);
-            state.weight = Math.max(MIN_WEIGHT, c.worth()) / worth;
-            state.latencyPerUnit = state.baselineLatency = c.goalMs()
+        for (RequestClass requestClass : initialSettings.classes()) {
+            ClassState classState = new ClassState(requestClass);
+            classState.weight = Math.max(MIN_WEIGHT, requestClass.worth()) / totalWorth;
+            classState.latencyPerUnit = classState.baselineLatency = requestClass.goalMs()
                     * INITIAL_LATENCY_GOAL_SHARE
                     / initialSettings.coordination().maxUnitsPerRequest();
-            classes.put(c.name(), state);
+            classes.put(requestClass.name(), classState);
         }
         for (int i = 0; i < initialSettings.plans().size(); i++)
             planNumbers.put(initialSettings.plans().get(i).name(), i);
@@ -178,79 +178,84 @@
     public void hostsUpdated(double now, HostListKind kind, List<Host> updates) {
         if (kind == HostListKind.FAILED) actions.startTimer(STALE_LEVEL_MS, "watch");
         if (kind == HostListKind.FAILED) return;
-        if (kind != HostListKind.CHANGES) hosts.values().forEach(s -> s.listed = false);
-        updates.forEach(
-                h -> hosts.computeIfAbsent(h.id(), id -> new TrackedHost(h)).update(h));
+        if (kind != HostListKind.CHANGES) hosts.values().forEach(host -> host.listed = false);
+        updates.forEach(update -> hosts.computeIfAbsent(update.id(), id -> new TrackedHost(update))
+                .update(update));
         refreshHosts(now);
         releaseQueued(now);
     }
 
     @Override
-    public void requestReceived(double now, Request r) {
-        ClassState cls = classes.get(r.requestClass());
-        if (cls == null) actions.refuse(r.id(), 0, Refusal.UNKNOWN); // its class can't be judged
-        if (cls == null) return;
-        Integer plan = planNumbers.get(r.plan());
-        CustomerState c = plan == null ? null : customerState(now, r.customer(), plan, r.first(), r.spread());
-        RequestState ask = new RequestState(r, cls, c, now);
-        requests.put(r.id(), ask);
-        switch (c == null ? AdmissionVerdict.ADMIT : decideAdmission(now, ask)) {
-            case ADMIT -> admit(now, ask);
-            case REFUSE -> admitOrRefuse(now, ask, false);
-            case ASK_COUNTER -> askCounter(now, ask);
-            default -> askOwner(now, ask, 0);
+    public void requestReceived(double now, Request details) {
+        ClassState classState = classes.get(details.requestClass());
+        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN); // its class can't be judged
+        if (classState == null) return;
+        Integer planNumber = planNumbers.get(details.plan());
+        CustomerState customer = planNumber == null
+                ? null
+                : customerState(now, details.customer(), planNumber, details.first(), details.spread());
+        RequestState request = new RequestState(details, classState, customer, now);
+        requests.put(details.id(), request);
+        switch (customer == null ? AdmissionVerdict.ADMIT : decideAdmission(now, request)) {
+            case ADMIT -> admit(now, request);
+            case REFUSE -> admitOrRefuse(now, request, false);
+            case ASK_COUNTER -> askCounter(now, request);
+            default -> askOwner(now, request, 0);
         }
-        if (c != null && ask.admitted) notifyOwners(now, c);
+        if (customer != null && request.admitted) notifyOwners(now, customer);
         flushOutbox(now);
     }
 
-    private void admit(double now, RequestState ask) {
-        ClassState cls = ask.classState;
-        ask.admitted = true;
-        CustomerState c = ask.customer;
-        if (c != null) c.requestAdmitted(now);
-        if (c != null) charge(now, c, ask.details.units(), ask.details.units());
-        if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, virtualTime);
-        cls.queue.addLast(ask);
+    private void admit(double now, RequestState request) {
+        ClassState classState = request.classState;
+        request.admitted = true;
+        CustomerState customer = request.customer;
+        if (customer != null) customer.requestAdmitted(now);
+        if (customer != null) charge(now, customer, request.details.units(), request.details.units());
+        if (classState.queue.isEmpty()) classState.virtualTime = Math.max(classState.virtualTime, virtualTime);
+        classState.queue.addLast(request);
         releaseQueued(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !ask.closed && ask.attempts.isEmpty();
-        if (held && now + cls.queue.size() * cls.meanReleaseGap >= holdDeadline(ask)) finishUnserved(now, ask);
+        boolean held = !request.closed && request.attempts.isEmpty();
+        if (held && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
+            finishUnserved(now, request);
     }
 
     @Override
     public void streamStarted(double now, String id, int attempt) {
-        RequestState ask = requests.get(id);
-        if (ask != null) ask.streaming = true;
+        RequestState request = requests.get(id);
+        if (request != null) request.streaming = true;
     }
 
     @Override
-    public void attemptEnded(double now, AttemptResult r) {
-        RequestState ask = requests.get(r.id());
-        if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
-        Attempt a = ask.attempts.get(r.attempt());
-        if (!a.inFlight) return;
-        a.end(r.outcome());
+    public void attemptEnded(double now, AttemptResult result) {
+        RequestState request = requests.get(result.id());
+        if (request == null || result.attempt() < 0 || result.attempt() >= request.attempts.size()) return;
+        Attempt attempt = request.attempts.get(result.attempt());
+        if (!attempt.inFlight) return;
+        attempt.end(result.outcome());
         attemptsInFlight--;
-        if (a.host.attemptsInFlight.isEmpty()) busyHosts.remove(a.host);
-        recordOutcome(now, ask, a, r);
-        if (r.requestClosed()) {
-            closeRequest(now, ask);
-        } else if (!ask.closed && !ask.hasAttemptInFlight()) {
-            if (acquireRetry(now, ask) && r.outcome() != Outcome.MOOT) ask.classState.queue.addFirst(ask);
-            else finishUnserved(now, ask);
+        if (attempt.host.attemptsInFlight.isEmpty()) busyHosts.remove(attempt.host);
+        recordOutcome(now, request, attempt, result);
+        if (result.requestClosed()) {
+            closeRequest(now, request);
+        } else if (!request.closed && !request.hasAttemptInFlight()) {
+            if (acquireRetry(now, request) && result.outcome() != Outcome.MOOT)
+                request.classState.queue.addFirst(request);
+            else finishUnserved(now, request);
         }
-        if (ask.closed && !ask.hasAttemptInFlight()) requests.remove(ask.details.id());
+        if (request.closed && !request.hasAttemptInFlight()) requests.remove(request.details.id());
         releaseQueued(now);
     }
 
     @Override
     public void clientDisconnected(double now, String id) {
-        RequestState ask = requests.get(id);
-        if (ask == null) return;
-        closeRequest(now, ask);
-        for (Attempt a : ask.attempts) {
-            if (a.inFlight && settings.limits().mayCancel() && !ask.streaming) actions.cancel(id, a.number);
+        RequestState request = requests.get(id);
+        if (request == null) return;
+        closeRequest(now, request);
+        for (Attempt attempt : request.attempts) {
+            if (attempt.inFlight && settings.limits().mayCancel() && !request.streaming)
+                actions.cancel(id, attempt.number);
         }
     }
 
@@ -280,69 +285,77 @@
         ASK_COUNTER
     }
 
-    private CustomerState customerState(double now, long id, int plan, int first, int spread) {
-        CustomerState c = customers.get(id);
-        if (c == null || c.planNumber != plan) {
-            Plan p = settings.plans().get(plan);
-            int wide = Math.max(1, Math.min(spread, peers.length));
-            int[] keepers = DecisionState.rankGateways(id, first, wide, peers.length, OWNER_COUNT);
-            c = new CustomerState(id, plan, p, first, wide, keepers, now);
-            c.quotaLevel = p.burst();
-            c.spareUnits = maxSpareUnits(c, 1.0 / wide);
+    private CustomerState customerState(double now, long id, int planNumber, int first, int spread) {
+        CustomerState customer = customers.get(id);
+        if (customer == null || customer.planNumber != planNumber) {
+            Plan plan = settings.plans().get(planNumber);
+            int boundedSpread = Math.max(1, Math.min(spread, peers.length));
+            int[] owners = DecisionState.rankGateways(id, first, boundedSpread, peers.length, OWNER_COUNT);
+            customer = new CustomerState(id, planNumber, plan, first, boundedSpread, owners, now);
+            customer.quotaLevel = plan.burst();
+            customer.spareUnits = maxSpareUnits(customer, 1.0 / boundedSpread);
             // Less than one request is no use, but a free one in each gateway of a wide set is many bursts.
-            c.ownTokens = hasWideSet(c) ? p.burst() / c.spread : Math.max(p.burst() / c.spread, minBucketSize(p));
+            customer.ownTokens = hasWideSet(customer)
+                    ? plan.burst() / customer.spread
+                    : Math.max(plan.burst() / customer.spread, minBucketSize(plan));
             // The ceiling's store starts with what has filled since this gateway started, never with a burst:
             // before a restart this gateway may have spent it (rule 5).
-            double filled = (now - startedAt) / 1000 * p.capRate() * capShare(c);
-            c.capTokens = Math.min(maxCapTokens(c), filled);
-            customers.put(id, c);
+            double filled = (now - startedAt) / 1000 * plan.capRate() * capShare(customer);
+            customer.capTokens = Math.min(maxCapTokens(customer), filled);
+            customers.put(id, customer);
         }
-        refill(now, c);
-        return c;
+        refill(now, customer);
+        return customer;
     }
 
     /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
-    private double capShare(CustomerState c) {
-        if (c.spread == 1) return 1;
-        return (c.owners[0] == settings.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
-                + (1 - PRIMARY_OWNER_CAP_SHARE) / c.spread;
-    }
-
-    private double maxCapTokens(CustomerState c) {
-        return c.plan.capBurst() * capShare(c);
-    }
-
-    private void refill(double now, CustomerState c) {
-        double s = (now - c.refilledAt) / 1000;
-        if (s <= 0) return;
-        double fade = Math.exp(-(now - c.refilledAt) / DEMAND_AVERAGING_MS);
-        Plan p = c.plan;
-        double part = processShare(now, c);
-        c.demand *= fade;
-        c.othersDemand *= fade;
-        c.refilledAt = now;
-        if (!hasWideSet(c)) c.reduceUnreported(part * p.rate() * s * c.fullness());
-        c.quotaLevel = Math.min(p.burst(), c.quotaLevel + p.rate() * s);
-        double left = Math.max(0, p.rate() - othersRate(c)) / processCount;
-        c.spareUnits = Math.min(maxSpareUnits(c, part), c.spareUnits + left * s);
-        c.ownTokens = Math.min(Math.max(part * p.burst(), minBucketSize(p)), c.ownTokens + part * p.rate() * s);
+    private double capShare(CustomerState customer) {
+        if (customer.spread == 1) return 1;
+        return (customer.owners[0] == settings.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
+                + (1 - PRIMARY_OWNER_CAP_SHARE) / customer.spread;
+    }
+
+    private double maxCapTokens(CustomerState customer) {
+        return customer.plan.capBurst() * capShare(customer);
+    }
+
+    private void refill(double now, CustomerState customer) {
+        double elapsedSeconds = (now - customer.refilledAt) / 1000;
+        if (elapsedSeconds <= 0) return;
+        double decay = Math.exp(-(now - customer.refilledAt) / DEMAND_AVERAGING_MS);
+        Plan plan = customer.plan;
+        double share = processShare(now, customer);
+        customer.demand *= decay;
+        customer.othersDemand *= decay;
+        customer.refilledAt = now;
+        if (!hasWideSet(customer))
+            customer.reduceUnreported(share * plan.rate() * elapsedSeconds * customer.fullness());
+        customer.quotaLevel = Math.min(plan.burst(), customer.quotaLevel + plan.rate() * elapsedSeconds);
+        double unusedRate = Math.max(0, plan.rate() - othersRate(customer)) / processCount;
+        customer.spareUnits =
+                Math.min(maxSpareUnits(customer, share), customer.spareUnits + unusedRate * elapsedSeconds);
+        customer.ownTokens = Math.min(
+                Math.max(share * plan.burst(), minBucketSize(plan)),
+                customer.ownTokens + share * plan.rate() * elapsedSeconds);
         // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
-        c.capTokens = Math.min(maxCapTokens(c) - c.unsentUnits, c.capTokens + p.capRate() * capShare(c) * s);
+        customer.capTokens = Math.min(
+                maxCapTokens(customer) - customer.unsentUnits,
+                customer.capTokens + plan.capRate() * capShare(customer) * elapsedSeconds);
     }
 
     /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
-    private double maxSpareUnits(CustomerState c, double part) {
-        return c.plan.burst() * (part + (1.0 / processCount - part) * OTHERS_FREE_SHARE);
+    private double maxSpareUnits(CustomerState customer, double share) {
+        return customer.plan.burst() * (share + (1.0 / processCount - share) * OTHERS_FREE_SHARE);
     }
 
-    private double minBucketSize(Plan p) {
-        return Math.min(p.burst(), settings.coordination().maxUnitsPerRequest());
+    private double minBucketSize(Plan plan) {
+        return Math.min(plan.burst(), settings.coordination().maxUnitsPerRequest());
     }
 
     /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
-    private double othersRate(CustomerState c) {
-        if (c.meterSeconds <= 0) return ASSUMED_USE_SHARE * c.plan.rate() * (1 - 1.0 / c.spread);
-        return Math.max(0, c.meterTotal - c.meterOwn) / c.meterSeconds;
+    private double othersRate(CustomerState customer) {
+        if (customer.meterSeconds <= 0) return ASSUMED_USE_SHARE * customer.plan.rate() * (1 - 1.0 / customer.spread);
+        return Math.max(0, customer.meterTotal - customer.meterOwn) / customer.meterSeconds;
     }
 
     /**
@@ -350,358 +363,386 @@
      * of their quota, and what one gateway's bucket lacks then lies in the others'. Without a meter that is a
      * guess which all of a set make alike: it is left to the plans whose excess costs little.
      */
-    private boolean hasSpareUnits(CustomerState c, double units) {
-        double unseen = othersRate(c) * METER_LAG_MS / 1000;
-        boolean guesses = settings.coordination().meterPeriodMs() > 0 || !hasCostlyExcess(c.plan);
-        return guesses && !settings.limits().peerMessages() && c.spread > 1 && c.spareUnits - unseen >= units;
+    private boolean hasSpareUnits(CustomerState customer, double units) {
+        double unseenUnits = othersRate(customer) * METER_LAG_MS / 1000;
+        boolean mayEstimate = settings.coordination().meterPeriodMs() > 0 || !hasCostlyExcess(customer.plan);
+        return mayEstimate
+                && !settings.limits().peerMessages()
+                && customer.spread > 1
+                && customer.spareUnits - unseenUnits >= units;
     }
 
     /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double processShare(double now, CustomerState c) {
-        return gatewayShare(now, c) / processCount;
+    private double processShare(double now, CustomerState customer) {
+        return gatewayShare(now, customer) / processCount;
     }
 
     /** The part of all processes of this gateway. */
-    private double gatewayShare(double now, CustomerState c) {
-        if (c.spread == 1) return 1;
-        if (!settings.limits().peerMessages()) return now - c.meterAt < STALE_LEVEL_MS ? c.meterShare : 1.0 / c.spread;
-        if (now - c.sharedLevelAt > STALE_LEVEL_MS && decidingOwner(now, c, 0) != settings.gatewayNumber())
-            return 1.0 / c.spread;
-        double prior = EVEN_SHARE_PRIOR * c.plan.rate();
-        return (c.demand + prior / c.spread) / (c.demand + c.othersDemand + prior);
+    private double gatewayShare(double now, CustomerState customer) {
+        if (customer.spread == 1) return 1;
+        if (!settings.limits().peerMessages())
+            return now - customer.meterAt < STALE_LEVEL_MS ? customer.meterShare : 1.0 / customer.spread;
+        if (now - customer.sharedLevelAt > STALE_LEVEL_MS
+                && decidingOwner(now, customer, 0) != settings.gatewayNumber()) return 1.0 / customer.spread;
+        double prior = EVEN_SHARE_PRIOR * customer.plan.rate();
+        return (customer.demand + prior / customer.spread) / (customer.demand + customer.othersDemand + prior);
     }
 
     /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int decidingOwner(double now, CustomerState c, int stage) {
-        for (int i = stage; i < c.owners.length; i++) {
-            int k = c.owners[i];
-            boolean last = i == c.owners.length - 1;
-            if (k == settings.gatewayNumber() ? last || !isUninformed(now, c) : now >= peers[k].unresponsiveUntil)
-                return k;
+    private int decidingOwner(double now, CustomerState customer, int ownerIndex) {
+        for (int i = ownerIndex; i < customer.owners.length; i++) {
+            int owner = customer.owners[i];
+            boolean last = i == customer.owners.length - 1;
+            if (owner == settings.gatewayNumber()
+                    ? last || !isUninformed(now, customer)
+                    : now >= peers[owner].unresponsiveUntil) return owner;
         }
-        return c.owners[0] == settings.gatewayNumber() ? settings.gatewayNumber() : -1;
+        return customer.owners[0] == settings.gatewayNumber() ? settings.gatewayNumber() : -1;
     }
 
     /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean isUninformed(double now, CustomerState c) {
-        return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
+    private boolean isUninformed(double now, CustomerState customer) {
+        return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
     }
 
-    private AdmissionVerdict decideAdmission(double now, RequestState ask) {
-        CustomerState c = ask.customer;
-        double units = ask.details.units();
-        c.demand += units / DEMAND_AVERAGING_MS * 1000;
-        Plan p = c.plan;
-        meanWorth += MEAN_WORTH_GAIN * (ask.classState.spec.worth() - meanWorth);
+    private AdmissionVerdict decideAdmission(double now, RequestState request) {
+        CustomerState customer = request.customer;
+        double units = request.details.units();
+        customer.demand += units / DEMAND_AVERAGING_MS * 1000;
+        Plan plan = customer.plan;
+        meanWorth += MEAN_WORTH_GAIN * (request.classState.spec.worth() - meanWorth);
         callBudget.updateMinPrice(settings.coordination().counterCallPrice(), meanWorth);
-        boolean limited = p.rate() > 0 && !p.excessPays();
-        boolean full = !p.excessPays() && !isBelowOpenLimit(now, c);
-        if (full || limited && c.quotaLevel < units) {
-            ask.refusal = full ? Refusal.OPEN : Refusal.QUOTA;
-            if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) notifyOwners(now, c);
+        boolean hasQuota = plan.rate() > 0 && !plan.excessPays();
+        boolean openLimitReached = !plan.excessPays() && !isBelowOpenLimit(now, customer);
+        if (openLimitReached || hasQuota && customer.quotaLevel < units) {
+            request.refusal = openLimitReached ? Refusal.OPEN : Refusal.QUOTA;
+            if (now - customer.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) notifyOwners(now, customer);
             return AdmissionVerdict.REFUSE;
         }
-        if (limited) ask.evidence = evidence(now, ask);
-        if (limited && hasWideSet(c)) return decideWideSet(now, ask);
-        boolean asks = settings.limits().peerMessages() && c.spread > 1;
-        int keeper = decidingOwner(now, c, 0);
-        boolean room = !limited
-                || keeper == settings.gatewayNumber() && asks
-                || c.ownTokens >= units && (!asks || now - c.sharedLevelAt < FRESH_LEVEL_MS)
-                || hasSpareUnits(c, units)
-                || (asks || usesCounter(c))
-                        && now - c.sharedLevelAt < FRESH_LEVEL_MS
-                        && c.quotaLevel - unseenUseReserve(now, c) >= units;
-        boolean ceiling = p.capRate() <= 0 || c.capTokens >= units; // rule 5: own units need no peer
-        if (room && ceiling) return AdmissionVerdict.ADMIT;
-        ask.requestedUnits = units;
-        if (usesCounter(c) && ceiling && drawsCounterCall(now, ask, roomChance(ask)))
+        if (hasQuota) request.evidence = evidence(now, request);
+        if (hasQuota && hasWideSet(customer)) return decideWideSet(now, request);
+        boolean asksOwner = settings.limits().peerMessages() && customer.spread > 1;
+        int decidingOwner = decidingOwner(now, customer, 0);
+        boolean hasRoom = !hasQuota
+                || decidingOwner == settings.gatewayNumber() && asksOwner
+                || customer.ownTokens >= units && (!asksOwner || now - customer.sharedLevelAt < FRESH_LEVEL_MS)
+                || hasSpareUnits(customer, units)
+                || (asksOwner || usesCounter(customer))
+                        && now - customer.sharedLevelAt < FRESH_LEVEL_MS
+                        && customer.quotaLevel - unseenUseReserve(now, customer) >= units;
+        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: own units need no peer
+        if (hasRoom && hasCapRoom) return AdmissionVerdict.ADMIT;
+        request.requestedUnits = units;
+        if (usesCounter(customer) && hasCapRoom && drawsCounterCall(now, request, roomChance(request)))
             return AdmissionVerdict.ASK_COUNTER;
-        return asks ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
+        return asksOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
     }
 
     /** Whether so many gateways share a customer that an even part of the burst holds no request. */
-    private boolean hasTooSmallShares(CustomerState c) {
+    private boolean hasTooSmallShares(CustomerState customer) {
         return !settings.limits().peerMessages()
-                && c.plan.burst() / c.spread < settings.coordination().maxUnitsPerRequest();
+                && customer.plan.burst() / customer.spread
+                        < settings.coordination().maxUnitsPerRequest();
     }
 
     /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
-    private boolean hasWideSet(CustomerState c) {
-        return hasTooSmallShares(c)
-                && c.plan.capRate() <= 0
-                && (settings.coordination().hasCounter() || hasCostlyExcess(c.plan));
+    private boolean hasWideSet(CustomerState customer) {
+        return hasTooSmallShares(customer)
+                && customer.plan.capRate() <= 0
+                && (settings.coordination().hasCounter() || hasCostlyExcess(customer.plan));
     }
 
-    private boolean hasCostlyExcess(Plan p) {
+    private boolean hasCostlyExcess(Plan plan) {
         double mean = settings.plans().stream()
                 .mapToDouble(Plan::weightedExcessLoss)
                 .average()
                 .orElse(0);
-        return p.weightedExcessLoss() >= mean;
+        return plan.weightedExcessLoss() >= mean;
     }
 
     /**
      * A call is drawn by what it would save against the guess. What that lets in unasked is counted by those
      * drawn: each adds the units of the others that its draw stands for; the total is true in the mean.
      */
-    private AdmissionVerdict decideWideSet(double now, RequestState ask) {
-        CustomerState c = ask.customer;
-        double units = ask.details.units();
+    private AdmissionVerdict decideWideSet(double now, RequestState request) {
+        CustomerState customer = request.customer;
+        double units = request.details.units();
         if (!settings.coordination().hasCounter())
-            return c.ownTokens >= units || hasSpareUnits(c, units) ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
-        boolean in = isAdmissionWorthwhile(now, ask);
-        boolean foundEmpty = c.counterVerdict(now, evidenceLifetimeMs(c.plan)) == CounterVerdict.EMPTY;
-        if (!in && foundEmpty) return AdmissionVerdict.REFUSE; // asked a moment ago
-        boolean asks = drawsCounterCall(now, ask, in ? expectedExcessCost(now, ask) : roomChance(ask));
-        if (!asks && in) adjustAdmissionMargin(ask, roomChance(ask));
-        if (!asks) return in ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
-        ask.requestedUnits = roomChance(ask) >= 0.5 ? units : 0; // otherwise it is added once it is let in
-        ask.sampledUnits = in ? units * (1 / (ask.callProbability * callBudget.allowedShare()) - 1) : 0;
+            return customer.ownTokens >= units || hasSpareUnits(customer, units)
+                    ? AdmissionVerdict.ADMIT
+                    : AdmissionVerdict.REFUSE;
+        boolean admits = isAdmissionWorthwhile(now, request);
+        boolean foundEmpty = customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)) == CounterVerdict.EMPTY;
+        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // asked a moment ago
+        boolean callsCounter =
+                drawsCounterCall(now, request, admits ? expectedExcessCost(now, request) : roomChance(request));
+        if (!callsCounter && admits) adjustAdmissionMargin(request, roomChance(request));
+        if (!callsCounter) return admits ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
+        request.requestedUnits = roomChance(request) >= 0.5 ? units : 0; // otherwise it is added once it is let in
+        request.sampledUnits = admits ? units * (1 / (request.callProbability * callBudget.allowedShare()) - 1) : 0;
         return AdmissionVerdict.ASK_COUNTER;
     }
 
     /** Whether a call is made that saves so much of a request's worth. */
-    private boolean drawsCounterCall(double now, RequestState ask, double saved) {
-        ask.callProbability = Math.min(1, ask.worth() * saved / callBudget.price(now));
-        return random.nextDouble() < ask.callProbability && callBudget.allowsCall(now);
+    private boolean drawsCounterCall(double now, RequestState request, double savedWorthShare) {
+        request.callProbability = Math.min(1, request.worth() * savedWorthShare / callBudget.price(now));
+        return random.nextDouble() < request.callProbability && callBudget.allowsCall(now);
     }
 
-    private double roomChance(RequestState ask) {
-        return admissionEstimates[ask.customer.planNumber].chance(ask.evidence);
+    private double roomChance(RequestState request) {
+        return admissionEstimates[request.customer.planNumber].chance(request.evidence);
     }
 
     /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
-    private double expectedExcessCost(double now, RequestState ask) {
-        boolean controlled = now - counterAnsweredAt < STALE_LEVEL_MS;
-        return (controlled ? admissionMargin : 1) * ask.customer.plan.excessLossRatio() * (1 - roomChance(ask));
+    private double expectedExcessCost(double now, RequestState request) {
+        boolean marginApplies = now - counterAnsweredAt < STALE_LEVEL_MS;
+        return (marginApplies ? admissionMargin : 1)
+                * request.customer.plan.excessLossRatio()
+                * (1 - roomChance(request));
     }
 
     /** Whether it pays in the mean to let in what the counter is not asked about. */
-    private boolean isAdmissionWorthwhile(double now, RequestState ask) {
-        return roomChance(ask) > expectedExcessCost(now, ask);
+    private boolean isAdmissionWorthwhile(double now, RequestState request) {
+        return roomChance(request) > expectedExcessCost(now, request);
     }
 
     /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
-    private void adjustAdmissionMargin(RequestState ask, double chance) {
-        excessEstimate.record(ask.worth() * chance, ask.worth() * (1 - chance) * ask.customer.plan.excessCost());
-        double step = excessEstimate.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
-        admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * step));
+    private void adjustAdmissionMargin(RequestState request, double chance) {
+        excessEstimate.record(
+                request.worth() * chance, request.worth() * (1 - chance) * request.customer.plan.excessCost());
+        double factor = excessEstimate.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
+        admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * factor));
     }
 
-    private static double evidenceLifetimeMs(Plan p) {
-        return EVIDENCE_BURSTS * 1000 * p.burst() / p.rate();
+    private static double evidenceLifetimeMs(Plan plan) {
+        return EVIDENCE_BURSTS * 1000 * plan.burst() / plan.rate();
     }
 
     /** What is known of a request's customer without asking: what the counter and the meter told last. */
-    private int evidence(double now, RequestState ask) {
-        CustomerState c = ask.customer;
-        double perPeriod = c.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
-        double metered =
-                now - c.meterAt < evidenceLifetimeMs(c.plan) ? (c.lastMeterReading - 1) / 100.0 * perPeriod : 0;
-        boolean hot = metered
-                > Math.max(perPeriod, OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(ask.details.retry(), hot, c.counterVerdict(now, evidenceLifetimeMs(c.plan)));
+    private int evidence(double now, RequestState request) {
+        CustomerState customer = request.customer;
+        double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
+        double meteredUnits = now - customer.meterAt < evidenceLifetimeMs(customer.plan)
+                ? (customer.lastMeterReading - 1) / 100.0 * quotaPerPeriod
+                : 0;
+        boolean overQuota = meteredUnits
+                > Math.max(
+                        quotaPerPeriod,
+                        OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
+        return AdmissionEstimate.evidence(
+                request.details.retry(), overQuota, customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)));
     }
 
     /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
-    private double unseenUseReserve(double now, CustomerState c) {
-        double cost = c.plan.excessLossRatio();
-        double rate = c.othersDemand + UNSEEN_USE_SHARE * c.plan.rate();
-        return rate * (now - c.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
+    private double unseenUseReserve(double now, CustomerState customer) {
+        double cost = customer.plan.excessLossRatio();
+        double rate = customer.othersDemand + UNSEEN_USE_SHARE * customer.plan.rate();
+        return rate * (now - customer.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
-    private boolean isBelowOpenLimit(double now, CustomerState c) {
-        int limit = c.plan.openLimit();
-        boolean fresh = c.spread == 1
+    private boolean isBelowOpenLimit(double now, CustomerState customer) {
+        int limit = customer.plan.openLimit();
+        boolean knowsOthers = customer.spread == 1
                 || settings.limits().peerMessages()
-                        && (decidingOwner(now, c, 0) == settings.gatewayNumber()
-                                || now - c.sharedLevelAt < FRESH_LEVEL_MS);
+                        && (decidingOwner(now, customer, 0) == settings.gatewayNumber()
+                                || now - customer.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
-                || (fresh
-                        ? c.openRequests + c.othersOpenRequests < limit
-                        : c.openRequests < Math.max(1, (int) (limit * processShare(now, c))));
+                || (knowsOthers
+                        ? customer.openRequests + customer.othersOpenRequests < limit
+                        : customer.openRequests < Math.max(1, (int) (limit * processShare(now, customer))));
     }
 
     /** When the store will have filled enough; every refusal tells a time to come back. */
-    private double retryAfterMs(double now, CustomerState c, double units) {
-        if (c.plan.rate() <= 0) return boundRetryAfterMs(0);
-        double store = 1000 * (units - c.quotaLevel) / c.plan.rate();
-        double bucket =
-                1000 * (units - c.ownTokens) / (c.plan.rate() * Math.max(EVEN_SHARE_PRIOR, processShare(now, c)));
+    private double retryAfterMs(double now, CustomerState customer, double units) {
+        if (customer.plan.rate() <= 0) return boundRetryAfterMs(0);
+        double quotaWaitMs = 1000 * (units - customer.quotaLevel) / customer.plan.rate();
+        double ownBucketWaitMs = 1000
+                * (units - customer.ownTokens)
+                / (customer.plan.rate() * Math.max(EVEN_SHARE_PRIOR, processShare(now, customer)));
         return boundRetryAfterMs(
-                settings.limits().peerMessages() || now - c.counterTotalAt < FRESH_LEVEL_MS
-                        ? store
-                        : Math.max(store, bucket));
+                settings.limits().peerMessages() || now - customer.counterTotalAt < FRESH_LEVEL_MS
+                        ? quotaWaitMs
+                        : Math.max(quotaWaitMs, ownBucketWaitMs));
     }
 
-    private double boundRetryAfterMs(double ms) {
-        double longest = settings.limits().maxRetryAfterMs();
-        return longest > 0 ? Math.min(longest, Math.max(MIN_RETRY_AFTER_MS, ms)) : 0;
+    private double boundRetryAfterMs(double waitMs) {
+        double maxMs = settings.limits().maxRetryAfterMs();
+        return maxMs > 0 ? Math.min(maxMs, Math.max(MIN_RETRY_AFTER_MS, waitMs)) : 0;
     }
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-    private void charge(double now, CustomerState c, double units, double ceilingUnits) {
-        c.ownTokens = Math.max(c.ownTokens - units, -c.plan.burst() / c.spread);
-        c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - units));
-        c.spareUnits -= units;
-        c.usedUnits += units;
-        if (usesCounter(c) && !hasWideSet(c)) addUnreported(c, units);
-        c.usageHistory.add(now, units);
-        c.unsentUnits += ceilingUnits;
-        c.capTokens -= ceilingUnits;
+    private void charge(double now, CustomerState customer, double units, double ceilingUnits) {
+        customer.ownTokens = Math.max(customer.ownTokens - units, -customer.plan.burst() / customer.spread);
+        customer.quotaLevel =
+                Math.max(-customer.plan.burst(), Math.min(customer.plan.burst(), customer.quotaLevel - units));
+        customer.spareUnits -= units;
+        customer.usedUnits += units;
+        if (usesCounter(customer) && !hasWideSet(customer)) addUnreported(customer, units);
+        customer.usageHistory.add(now, units);
+        customer.unsentUnits += ceilingUnits;
+        customer.capTokens -= ceilingUnits;
     }
 
     /**
      * The part follows the own use in the period that the meter tells of. Use of now over a total of long ago
      * would grow by itself: each gateway of the set would see its own share rise until the next figure.
      */
-    private void applyMeterReading(double now, CustomerState c, int usedPct) {
-        if (usedPct <= 0 || settings.limits().peerMessages() || c.plan.rate() <= 0) return;
-        c.meterAt = now;
-        double period = settings.coordination().meterPeriodMs();
-        if (usedPct == c.lastMeterReading && now - c.meterShareAt < period) return; // told before: it says nothing new
-        c.lastMeterReading = usedPct;
-        double fade = Math.exp(-Math.max(0, now - c.meterShareAt) / DEMAND_AVERAGING_MS);
-        c.meterShareAt = now;
-        c.meterTotal = c.meterTotal * fade + (usedPct - 1) / 100.0 * c.plan.rate() * period / 1000;
-        c.meterSeconds = c.meterSeconds * fade + period / 1000;
-        c.meterOwn = c.meterOwn * fade + c.usageHistory.usedBetween(now - METER_LAG_MS - period, now - METER_LAG_MS);
-        double prior = EVEN_SHARE_PRIOR * c.plan.rate();
-        double part = Math.min(1, (c.meterOwn + prior / c.spread) / (c.meterTotal + prior));
-        boolean rises = usedPct - 1 < 100 && c.demand > part * c.plan.rate();
-        c.meterShare = rises ? Math.min(1, Math.max(part, c.meterShare) + SHARE_RAISE_STEP) : part;
+    private void applyMeterReading(double now, CustomerState customer, int reading) {
+        if (reading <= 0 || settings.limits().peerMessages() || customer.plan.rate() <= 0) return;
+        customer.meterAt = now;
+        double periodMs = settings.coordination().meterPeriodMs();
+        if (reading == customer.lastMeterReading && now - customer.meterShareAt < periodMs)
+            return; // told before: it says nothing new
+        customer.lastMeterReading = reading;
+        double decay = Math.exp(-Math.max(0, now - customer.meterShareAt) / DEMAND_AVERAGING_MS);
+        customer.meterShareAt = now;
+        customer.meterTotal =
+                customer.meterTotal * decay + (reading - 1) / 100.0 * customer.plan.rate() * periodMs / 1000;
+        customer.meterSeconds = customer.meterSeconds * decay + periodMs / 1000;
+        customer.meterOwn = customer.meterOwn * decay
+                + customer.usageHistory.usedBetween(now - METER_LAG_MS - periodMs, now - METER_LAG_MS);
+        double prior = EVEN_SHARE_PRIOR * customer.plan.rate();
+        double share = Math.min(1, (customer.meterOwn + prior / customer.spread) / (customer.meterTotal + prior));
+        boolean raises = reading - 1 < 100 && customer.demand > share * customer.plan.rate();
+        customer.meterShare = raises ? Math.min(1, Math.max(share, customer.meterShare) + SHARE_RAISE_STEP) : share;
     }
 
     // ---- processes of one gateway
 
     @Override
     public void processCountChanged(double now, int count) {
-        double kept = Math.min(1, (double) processCount / count); // what is stored goes to new ones evenly
-        customers.values().forEach(c -> refill(now, c));
+        double keptShare = Math.min(1, (double) processCount / count); // what is stored goes to new ones evenly
+        customers.values().forEach(customer -> refill(now, customer));
         processCount = count;
-        for (CustomerState c : customers.values()) {
-            c.ownTokens *= kept;
-            c.spareUnits *= kept;
+        for (CustomerState customer : customers.values()) {
+            customer.ownTokens *= keptShare;
+            customer.spareUnits *= keptShare;
         }
     }
 
     @Override
     public List<CustomerSnapshot> snapshotCustomers(double now) {
-        customers.values().forEach(c -> refill(now, c));
+        customers.values().forEach(customer -> refill(now, customer));
         return customers.values().stream().map(CustomerState::snapshot).toList();
     }
 
     @Override
-    public void restoreCustomers(double now, List<CustomerSnapshot> memory) {
-        for (CustomerSnapshot r : memory) {
-            boolean known = customers.containsKey(r.customer());
-            if (known || r.plan() < 0 || r.plan() >= settings.plans().size()) continue;
-            CustomerState c = customerState(now, r.customer(), r.plan(), r.first(), r.spread());
-            c.restore(r, processCount);
+    public void restoreCustomers(double now, List<CustomerSnapshot> snapshots) {
+        for (CustomerSnapshot snapshot : snapshots) {
+            boolean known = customers.containsKey(snapshot.customer());
+            if (known
+                    || snapshot.plan() < 0
+                    || snapshot.plan() >= settings.plans().size()) continue;
+            CustomerState customer =
+                    customerState(now, snapshot.customer(), snapshot.plan(), snapshot.first(), snapshot.spread());
+            customer.restore(snapshot, processCount);
         }
     }
 
     // ---- questions to the counter
 
     /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
-    private boolean usesCounter(CustomerState c) {
+    private boolean usesCounter(CustomerState customer) {
         return settings.coordination().hasCounter()
                 && !settings.limits().peerMessages()
-                && c.spread > 1
-                && c.plan.rate() > 0
-                && !c.plan.excessPays();
+                && customer.spread > 1
+                && customer.plan.rate() > 0
+                && !customer.plan.excessPays();
     }
 
     /** Holds a request that the own part has no room for until the whole store is known. */
-    private void askCounter(double now, RequestState ask) {
-        CustomerState c = ask.customer;
-        if (now + COUNTER_CALL_ALLOWANCE_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
-            admitOrRefuse(now, ask, false);
+    private void askCounter(double now, RequestState request) {
+        CustomerState customer = request.customer;
+        if (now + COUNTER_CALL_ALLOWANCE_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
+            admitOrRefuse(now, request, false);
             return;
         }
-        c.pending.addLast(ask);
-        if (!c.callInFlight) callCounter(now, c);
+        customer.pending.addLast(request);
+        if (!customer.callInFlight) callCounter(now, customer);
     }
 
     /** Adds what was used and what is wanted: of two gateways the second then sees the first one's wish. */
-    private void callCounter(double now, CustomerState c) {
-        if (hasWideSet(c)) c.counterWindow = c.windowAt(now, COUNTER_LIFETIME_MS);
-        c.beginCall(now);
-        unreportedCustomers.remove(c);
+    private void callCounter(double now, CustomerState customer) {
+        if (hasWideSet(customer)) customer.counterWindow = customer.windowAt(now, COUNTER_LIFETIME_MS);
+        customer.beginCall(now);
+        unreportedCustomers.remove(customer);
         callBudget.recordCall(now);
-        actions.addToCounter(c.counterName(hasWideSet(c)), c.callUnits, COUNTER_LIFETIME_MS);
+        actions.addToCounter(customer.counterName(hasWideSet(customer)), customer.callUnits, COUNTER_LIFETIME_MS);
     }
 
     @Override
     public void counterCallEnded(double now, String counter, Outcome outcome, double total) {
-        CustomerState c = customers.get(CustomerState.idOfCounterName(counter));
-        if (c == null || !c.callInFlight) return;
-        refill(now, c);
-        c.callInFlight = false;
-        boolean told = outcome == Outcome.OK;
-        callBudget.recordAnswer(now, now - c.counterCalledAt, told);
-        if (told) counterAnsweredAt = now;
-        if (told && hasWideSet(c)) applyWindowTotal(now, c, total);
-        else if (told) applyCounterTotal(now, c, total);
-        if (outcome.neverRan()) c.unreportedUnits += c.callUnits - c.expiredUnitsInCall;
-        if (!told) c.expiredUnitsInCall = 0; // by the next answer it shows whether it is still due
-        List<RequestState> asked = c.callRequests;
-        c.callRequests = List.of();
-        for (RequestState ask : asked) decideAfterCounterCall(now, ask, told);
-        while (!told && !c.pending.isEmpty()) {
-            RequestState next = c.pending.poll();
-            admitOrRefuse(now, next, hasWideSet(c) && isAdmissionWorthwhile(now, next));
+        CustomerState customer = customers.get(CustomerState.idOfCounterName(counter));
+        if (customer == null || !customer.callInFlight) return;
+        refill(now, customer);
+        customer.callInFlight = false;
+        boolean succeeded = outcome == Outcome.OK;
+        callBudget.recordAnswer(now, now - customer.counterCalledAt, succeeded);
+        if (succeeded) counterAnsweredAt = now;
+        if (succeeded && hasWideSet(customer)) applyWindowTotal(now, customer, total);
+        else if (succeeded) applyCounterTotal(now, customer, total);
+        if (outcome.neverRan()) customer.unreportedUnits += customer.callUnits - customer.expiredUnitsInCall;
+        if (!succeeded) customer.expiredUnitsInCall = 0; // by the next answer it shows whether it is still due
+        List<RequestState> answeredRequests = customer.callRequests;
+        customer.callRequests = List.of();
+        for (RequestState request : answeredRequests) decideAfterCounterCall(now, request, succeeded);
+        while (!succeeded && !customer.pending.isEmpty()) {
+            RequestState next = customer.pending.poll();
+            admitOrRefuse(now, next, hasWideSet(customer) && isAdmissionWorthwhile(now, next));
         }
-        addUnreported(c, 0);
-        if (!c.pending.isEmpty() || hasWideSet(c) && told && isCounterCallWorthwhile(now, c)) callCounter(now, c);
-        c.expiredUnits = 0;
+        addUnreported(customer, 0);
+        if (!customer.pending.isEmpty() || hasWideSet(customer) && succeeded && isCounterCallWorthwhile(now, customer))
+            callCounter(now, customer);
+        customer.expiredUnits = 0;
         flushOutbox(now);
     }
 
     /** What the next call is to add to a customer's count, or to take off it. */
-    private void addUnreported(CustomerState c, double units) {
-        c.unreportedUnits += units;
-        if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
-        else unreportedCustomers.add(c);
+    private void addUnreported(CustomerState customer, double units) {
+        customer.unreportedUnits += units;
+        if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
+        else unreportedCustomers.add(customer);
     }
 
     /** In a wide set what is let in is counted here; elsewhere it is charged anew. */
-    private void decideAfterCounterCall(double now, RequestState ask, boolean told) {
-        CustomerState c = ask.customer;
-        double units = ask.details.units();
-        boolean room =
-                told ? c.quotaLevel >= units : hasWideSet(c) ? isAdmissionWorthwhile(now, ask) : c.ownTokens >= units;
-        if (told) recordCounterVerdict(now, ask, room);
-        boolean in = room && !ask.closed && isBelowOpenLimit(now, c);
-        ask.countedInTotal = in && hasWideSet(c);
-        c.unreportedUnits += (ask.countedInTotal ? units : 0) - ask.requestedUnits;
-        if (told && !room) c.unreportedUnits -= ask.sampledUnits; // excess takes nothing
-        if (ask.countedInTotal) adjustAdmissionMargin(ask, told ? 1 : roomChance(ask));
-        if (!ask.closed) admitOrRefuse(now, ask, in);
-    }
-
-    private void recordCounterVerdict(double now, RequestState ask, boolean room) {
-        CustomerState c = ask.customer;
-        admissionEstimates[c.planNumber].record(ask.evidence, room);
-        ask.refusal = room ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
-        c.counterVerdict = CounterVerdict.of(room, c.fullness());
+    private void decideAfterCounterCall(double now, RequestState request, boolean succeeded) {
+        CustomerState customer = request.customer;
+        double units = request.details.units();
+        boolean hasRoom = succeeded
+                ? customer.quotaLevel >= units
+                : hasWideSet(customer) ? isAdmissionWorthwhile(now, request) : customer.ownTokens >= units;
+        if (succeeded) recordCounterVerdict(now, request, hasRoom);
+        boolean admits = hasRoom && !request.closed && isBelowOpenLimit(now, customer);
+        request.countedInTotal = admits && hasWideSet(customer);
+        customer.unreportedUnits += (request.countedInTotal ? units : 0) - request.requestedUnits;
+        if (succeeded && !hasRoom) customer.unreportedUnits -= request.sampledUnits; // excess takes nothing
+        if (request.countedInTotal) adjustAdmissionMargin(request, succeeded ? 1 : roomChance(request));
+        if (!request.closed) admitOrRefuse(now, request, admits);
+    }
+
+    private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
+        CustomerState customer = request.customer;
+        admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
+        request.refusal = hasRoom ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
+        customer.counterVerdict = CounterVerdict.of(hasRoom, customer.fullness());
     }
 
     /** What is to be put right in a count has a worth too, and waits where calls save more elsewhere. */
-    private boolean isCounterCallWorthwhile(double now, CustomerState c) {
-        double each = hasWideSet(c) ? CORRECTION_WORTH_SHARE : c.spread * (1 - c.fullness());
-        double units = Math.min(c.plan.burst(), each * Math.abs(c.unreportedUnits) + c.expiredUnits);
+    private boolean isCounterCallWorthwhile(double now, CustomerState customer) {
+        double valuePerUnit =
+                hasWideSet(customer) ? CORRECTION_WORTH_SHARE : customer.spread * (1 - customer.fullness());
+        double units = Math.min(
+                customer.plan.burst(), valuePerUnit * Math.abs(customer.unreportedUnits) + customer.expiredUnits);
         return units > 0
                 && callBudget.hasSavedCall(now)
-                && units * c.plan.valueFactor() * meanWorth >= callBudget.price(now);
+                && units * customer.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
     /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
-    private void applyCounterTotal(double now, CustomerState c, double total) {
-        boolean anew = c.counterTotalAt == DecisionState.NEVER || total < c.counterTotal / 2;
-        double others = total - c.callUnits - (anew ? 0 : c.counterTotal);
-        c.applyCounterTotal(now, total, c.quotaLevel - others);
+    private void applyCounterTotal(double now, CustomerState customer, double total) {
+        boolean restarted = customer.counterTotalAt == DecisionState.NEVER || total < customer.counterTotal / 2;
+        double othersUnits = total - customer.callUnits - (restarted ? 0 : customer.counterTotal);
+        customer.applyCounterTotal(now, total, customer.quotaLevel - othersUnits);
     }
 
     /**
@@ -709,91 +750,100 @@
      * burst: what is left unused lapses. One call adds that to the count, once it is a burst or more; of two
      * that do so at once the second sees by its answer that it was not needed, and takes it back.
      */
-    private void applyWindowTotal(double now, CustomerState c, double total) {
-        double seconds = c.elapsedInWindowMs(now, COUNTER_LIFETIME_MS) / 1000;
-        double left = c.plan.burst() + c.plan.rate() * seconds - (total - c.callRequestUnits());
-        if (c.expiredUnitsInCall > 0 && left < c.plan.burst() - c.expiredUnitsInCall / 2)
-            c.unreportedUnits -= c.expiredUnitsInCall;
-        c.expiredUnitsInCall = 0;
-        double lapsed = left - c.plan.burst();
-        c.expiredUnits = lapsed > MIN_LAPSED_BURSTS * c.plan.burst() ? lapsed : 0;
-        c.applyCounterTotal(now, total, left);
+    private void applyWindowTotal(double now, CustomerState customer, double total) {
+        double seconds = customer.elapsedInWindowMs(now, COUNTER_LIFETIME_MS) / 1000;
+        double newLevel =
+                customer.plan.burst() + customer.plan.rate() * seconds - (total - customer.callRequestUnits());
+        if (customer.expiredUnitsInCall > 0 && newLevel < customer.plan.burst() - customer.expiredUnitsInCall / 2)
+            customer.unreportedUnits -= customer.expiredUnitsInCall;
+        customer.expiredUnitsInCall = 0;
+        double lapsed = newLevel - customer.plan.burst();
+        customer.expiredUnits = lapsed > MIN_LAPSED_BURSTS * customer.plan.burst() ? lapsed : 0;
+        customer.applyCounterTotal(now, total, newLevel);
     }
 
     /** What was let in by the own part is to be known to the others too, by and by. */
     private void reportUsage(double now) {
         if (unreportedCustomers.isEmpty()) return;
-        for (CustomerState c : new ArrayList<>(unreportedCustomers)) {
-            boolean ended = hasWideSet(c) && c.counterWindow != c.windowAt(now, COUNTER_LIFETIME_MS);
-            if (ended) c.unreportedUnits = 0; // its name counts no more
-            if (c.unreportedUnits == 0) unreportedCustomers.remove(c);
-            else if (!c.callInFlight
-                    && now - c.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
-                    && isCounterCallWorthwhile(now, c)) callCounter(now, c);
+        for (CustomerState customer : new ArrayList<>(unreportedCustomers)) {
+            boolean windowEnded =
+                    hasWideSet(customer) && customer.counterWindow != customer.windowAt(now, COUNTER_LIFETIME_MS);
+            if (windowEnded) customer.unreportedUnits = 0; // its name counts no more
+            if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
+            else if (!customer.callInFlight
+                    && now - customer.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
+                    && isCounterCallWorthwhile(now, customer)) callCounter(now, customer);
         }
     }
 
     // ---- questions to keepers
 
     /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void askOwner(double now, RequestState ask, int stage) {
-        CustomerState c = ask.customer;
-        int keeper = stage < c.owners.length ? decidingOwner(now, c, stage) : -1;
-        if (keeper < 0
-                || keeper == settings.gatewayNumber()
-                || now + OWNER_ANSWER_TIMEOUT_MS >= ask.details.deadlineMs() - DEADLINE_MARGIN_MS) {
-            c.pending.remove(ask);
-            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.ownTokens : c.quotaLevel) >= ask.details.units();
-            admitOrRefuse(now, ask, room && (c.plan.capRate() <= 0 || c.capTokens >= ask.details.units()));
-            notifyOwners(now, c);
+    private void askOwner(double now, RequestState request, int ownerIndex) {
+        CustomerState customer = request.customer;
+        int owner = ownerIndex < customer.owners.length ? decidingOwner(now, customer, ownerIndex) : -1;
+        if (owner < 0
+                || owner == settings.gatewayNumber()
+                || now + OWNER_ANSWER_TIMEOUT_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
+            customer.pending.remove(request);
+            boolean hasRoom = customer.plan.rate() <= 0
+                    || (owner < 0 ? customer.ownTokens : customer.quotaLevel) >= request.details.units();
+            admitOrRefuse(
+                    now,
+                    request,
+                    hasRoom && (customer.plan.capRate() <= 0 || customer.capTokens >= request.details.units()));
+            notifyOwners(now, customer);
             return;
         }
-        ask.ownerIndex = keeper == c.owners[0] ? 0 : c.owners.length - 1;
-        ask.askedOwner = keeper;
-        ask.querySerial = peers[keeper].sentSerial + 1; // of the next message: the last one did not ask for it
-        ask.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
-        if (!c.pending.contains(ask)) c.pending.addLast(ask);
-        ownerQueries.add(ask);
-        c.ownerNotifiedAt = now;
-        enqueuePeer(peers[keeper], c);
+        request.ownerIndex = owner == customer.owners[0] ? 0 : customer.owners.length - 1;
+        request.askedOwner = owner;
+        request.querySerial = peers[owner].sentSerial + 1; // of the next message: the last one did not ask for it
+        request.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
+        if (!customer.pending.contains(request)) customer.pending.addLast(request);
+        ownerQueries.add(request);
+        customer.ownerNotifiedAt = now;
+        enqueuePeer(peers[owner], customer);
     }
 
-    private void admitOrRefuse(double now, RequestState ask, boolean in) {
-        if (in) admit(now, ask);
-        if (in) return;
-        closeRequest(now, ask);
-        actions.refuse(ask.details.id(), retryAfterMs(now, ask.customer, ask.details.units()), ask.refusal);
+    private void admitOrRefuse(double now, RequestState request, boolean admits) {
+        if (admits) admit(now, request);
+        if (admits) return;
+        closeRequest(now, request);
+        actions.refuse(
+                request.details.id(), retryAfterMs(now, request.customer, request.details.units()), request.refusal);
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
     private void expireOwnerQueries(double now) {
-        ownerQueries.removeIf(a -> a.closed || a.admitted);
-        for (RequestState ask :
-                ownerQueries.stream().filter(a -> now >= a.answerDueAt).toList()) {
-            ownerQueries.remove(ask);
-            peers[ask.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
-            refill(now, ask.customer);
-            askOwner(now, ask, ask.ownerIndex + 1);
+        ownerQueries.removeIf(query -> query.closed || query.admitted);
+        for (RequestState request :
+                ownerQueries.stream().filter(query -> now >= query.answerDueAt).toList()) {
+            ownerQueries.remove(request);
+            peers[request.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
+            refill(now, request.customer);
+            askOwner(now, request, request.ownerIndex + 1);
         }
     }
 
     // ---- tells between gateways
 
     /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void notifyOwners(double now, CustomerState c) {
-        if (!settings.limits().peerMessages() || c.spread == 1) return;
-        int keeper = decidingOwner(now, c, 0);
-        if (keeper != settings.gatewayNumber()) {
-            c.ownerNotifiedAt = now;
-            if (keeper >= 0) enqueuePeer(peers[keeper], c);
-        } else if (now - c.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) {
-            c.ownerNotifiedAt = now;
-            IntStream.of(c.owners).filter(k -> k != settings.gatewayNumber()).forEach(k -> enqueuePeer(peers[k], c));
+    private void notifyOwners(double now, CustomerState customer) {
+        if (!settings.limits().peerMessages() || customer.spread == 1) return;
+        int owner = decidingOwner(now, customer, 0);
+        if (owner != settings.gatewayNumber()) {
+            customer.ownerNotifiedAt = now;
+            if (owner >= 0) enqueuePeer(peers[owner], customer);
+        } else if (now - customer.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) {
+            customer.ownerNotifiedAt = now;
+            IntStream.of(customer.owners)
+                    .filter(other -> other != settings.gatewayNumber())
+                    .forEach(other -> enqueuePeer(peers[other], customer));
         }
     }
 
-    private void enqueuePeer(PeerState peer, CustomerState told) {
-        if (told != null) peer.dueReports.add(told);
+    private void enqueuePeer(PeerState peer, CustomerState customer) {
+        if (customer != null) peer.dueReports.add(customer);
         if (!peer.queued) outbox.addLast(peer);
         peer.queued = true;
     }
@@ -817,13 +867,16 @@
 
     private void sendMessage(double now, PeerState peer) {
         List<PeerMessage.Entry> entries = new ArrayList<>();
-        int room = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
+        int maxEntries = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.sentSerial++;
         for (LinkedHashSet<CustomerState> due : List.of(peer.dueAnswers, peer.dueReports)) {
-            for (Iterator<CustomerState> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
-                CustomerState c = it.next();
-                refill(now, c);
-                entries.add(due == peer.dueAnswers ? answerEntry(now, c, peer) : reportEntry(now, c, peer));
+            for (Iterator<CustomerState> it = due.iterator();
+                    it.hasNext() && entries.size() < maxEntries;
+                    it.remove()) {
+                CustomerState customer = it.next();
+                refill(now, customer);
+                entries.add(
+                        due == peer.dueAnswers ? answerEntry(now, customer, peer) : reportEntry(now, customer, peer));
             }
         }
         peer.sentAt = now;
@@ -832,51 +885,53 @@
                 new PeerMessage(epoch, peer.epoch, peer.sentSerial, peer.receivedSerial, entries).encode());
     }
 
-    private PeerMessage.Entry reportEntry(double now, CustomerState c, PeerState keeper) {
-        for (RequestState a : c.pending) if (a.askedOwner == keeper.number) a.querySerial = keeper.sentSerial;
-        double want = c.pendingUnits();
-        boolean asked = decidingOwner(now, c, 0) == keeper.number
-                || now < keeper.unresponsiveUntil
-                || c.pending.stream().anyMatch(a -> a.askedOwner == keeper.number);
-        boolean view = decidingOwner(now, c, 0) == settings.gatewayNumber() || now - c.sharedLevelAt < FRESH_LEVEL_MS;
+    private PeerMessage.Entry reportEntry(double now, CustomerState customer, PeerState owner) {
+        for (RequestState request : customer.pending)
+            if (request.askedOwner == owner.number) request.querySerial = owner.sentSerial;
+        double want = customer.pendingUnits();
+        boolean asked = decidingOwner(now, customer, 0) == owner.number
+                || now < owner.unresponsiveUntil
+                || customer.pending.stream().anyMatch(request -> request.askedOwner == owner.number);
+        boolean view = decidingOwner(now, customer, 0) == settings.gatewayNumber()
+                || now - customer.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
                 asked,
-                c.plan.capRate() > 0 && c.capTokens < want,
+                customer.plan.capRate() > 0 && customer.capTokens < want,
                 false,
                 view,
-                c.id,
-                c.planNumber,
-                c.first,
-                c.spread,
-                c.usedUnits,
+                customer.id,
+                customer.planNumber,
+                customer.first,
+                customer.spread,
+                customer.usedUnits,
                 want,
-                c.demand,
-                c.fullness(),
-                c.openRequests,
+                customer.demand,
+                customer.fullness(),
+                customer.openRequests,
                 0);
     }
 
-    private PeerMessage.Entry answerEntry(double now, CustomerState c, PeerState to) {
-        MemberState m = c.member(to);
-        double theirs = m.demand * Math.exp(-(now - m.demandAt) / DEMAND_AVERAGING_MS);
-        double others = Math.max(0, c.demand + c.othersDemand - theirs);
+    private PeerMessage.Entry answerEntry(double now, CustomerState customer, PeerState to) {
+        MemberState member = customer.member(to);
+        double theirs = member.demand * Math.exp(-(now - member.demandAt) / DEMAND_AVERAGING_MS);
+        double others = Math.max(0, customer.demand + customer.othersDemand - theirs);
         return new PeerMessage.Entry(
                 true,
                 false,
-                c.plan.capRate() > 0,
-                isUninformed(now, c),
+                customer.plan.capRate() > 0,
+                isUninformed(now, customer),
                 false,
-                c.id,
-                c.planNumber,
-                c.first,
-                c.spread,
-                m.bookedUnits,
-                m.grantedUnits,
+                customer.id,
+                customer.planNumber,
+                customer.first,
+                customer.spread,
+                member.bookedUnits,
+                member.grantedUnits,
                 others,
-                c.fullness(),
-                c.openRequests + c.othersOpenRequests - m.openRequests,
-                m.capUnitsGiven);
+                customer.fullness(),
+                customer.openRequests + customer.othersOpenRequests - member.openRequests,
+                member.capUnitsGiven);
     }
 
     @Override
@@ -896,87 +951,98 @@
         peer.receivedSerial = tell.serial();
         peer.unresponsiveUntil = DecisionState.NEVER;
         boolean toThisLife = tell.receiverEpoch() == epoch;
-        for (PeerMessage.Entry e : tell.entries()) {
-            if (e.plan() >= settings.plans().size()) continue;
-            if (e.answer()) handleAnswer(now, peer, e, tell.receivedSerial(), toThisLife);
-            else handleReport(now, peer, e);
+        for (PeerMessage.Entry entry : tell.entries()) {
+            if (entry.plan() >= settings.plans().size()) continue;
+            if (entry.answer()) handleAnswer(now, peer, entry, tell.receivedSerial(), toThisLife);
+            else handleReport(now, peer, entry);
         }
         flushOutbox(now);
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void handleReport(double now, PeerState peer, PeerMessage.Entry e) {
-        int place = Math.floorMod(peer.number - e.first(), peers.length);
-        if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
-        CustomerState c = customerState(now, e.customer(), e.plan(), e.first(), e.spread());
-        if (IntStream.of(c.owners).noneMatch(k -> k == settings.gatewayNumber())) return;
-        boolean unsure = isUninformed(now, c);
-        boolean adopts = e.hasLevel() && (unsure || decidingOwner(now, c, 0) == peer.number);
+    private void handleReport(double now, PeerState peer, PeerMessage.Entry entry) {
+        int place = Math.floorMod(peer.number - entry.first(), peers.length);
+        if (entry.spread() > peers.length || place >= entry.spread()) return; // a set that cannot be
+        CustomerState customer = customerState(now, entry.customer(), entry.plan(), entry.first(), entry.spread());
+        if (IntStream.of(customer.owners).noneMatch(owner -> owner == settings.gatewayNumber())) return;
+        boolean unsure = isUninformed(now, customer);
+        boolean adopts = entry.hasLevel() && (unsure || decidingOwner(now, customer, 0) == peer.number);
         if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fullness() * c.plan.burst());
-            c.informed = true;
+            customer.quotaLevel = Math.min(
+                    unsure ? customer.quotaLevel : customer.plan.burst(), entry.fullness() * customer.plan.burst());
+            customer.informed = true;
         }
-        MemberState m = c.member(peer);
-        c.othersDemand = Math.max(
-                0, c.othersDemand + e.demand() - m.demand * Math.exp(-(now - m.demandAt) / DEMAND_AVERAGING_MS));
-        m.demand = e.demand();
-        m.demandAt = now;
-        c.othersOpenRequests += e.openRequests() - m.openRequests;
-        m.openRequests = e.openRequests();
-        double spent = m.hasReported && !adopts ? PeerMessage.unitsAhead(e.usedUnits(), m.bookedUnits) : 0;
-        m.hasReported = true;
-        c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - spent));
-        boolean gives = e.cap() && c.plan.capRate() > 0;
-        boolean grants = e.wantedUnits() > 0
-                && (c.plan.rate() <= 0 || c.quotaLevel >= e.wantedUnits())
-                && (!gives || c.capTokens >= e.wantedUnits());
-        m.grantedUnits = grants ? e.wantedUnits() : 0;
-        m.bookedUnits = e.usedUnits() + m.grantedUnits;
-        c.quotaLevel -= m.grantedUnits;
-        if (decidingOwner(now, c, 0) == settings.gatewayNumber() && spent + m.grantedUnits != 0) notifyOwners(now, c);
-        if (grants && gives && e.replyWanted()) { // deducted here first, so a lost message loses units
-            c.capTokens -= e.wantedUnits();
-            m.capUnitsGiven += e.wantedUnits();
+        MemberState member = customer.member(peer);
+        customer.othersDemand = Math.max(
+                0,
+                customer.othersDemand
+                        + entry.demand()
+                        - member.demand * Math.exp(-(now - member.demandAt) / DEMAND_AVERAGING_MS));
+        member.demand = entry.demand();
+        member.demandAt = now;
+        customer.othersOpenRequests += entry.openRequests() - member.openRequests;
+        member.openRequests = entry.openRequests();
+        double spent =
+                member.hasReported && !adopts ? PeerMessage.unitsAhead(entry.usedUnits(), member.bookedUnits) : 0;
+        member.hasReported = true;
+        customer.quotaLevel =
+                Math.max(-customer.plan.burst(), Math.min(customer.plan.burst(), customer.quotaLevel - spent));
+        boolean gives = entry.cap() && customer.plan.capRate() > 0;
+        boolean grants = entry.wantedUnits() > 0
+                && (customer.plan.rate() <= 0 || customer.quotaLevel >= entry.wantedUnits())
+                && (!gives || customer.capTokens >= entry.wantedUnits());
+        member.grantedUnits = grants ? entry.wantedUnits() : 0;
+        member.bookedUnits = entry.usedUnits() + member.grantedUnits;
+        customer.quotaLevel -= member.grantedUnits;
+        if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spent + member.grantedUnits != 0)
+            notifyOwners(now, customer);
+        if (grants && gives && entry.replyWanted()) { // deducted here first, so a lost message loses units
+            customer.capTokens -= entry.wantedUnits();
+            member.capUnitsGiven += entry.wantedUnits();
         }
-        if (e.replyWanted()) {
-            peer.dueAnswers.add(c);
+        if (entry.replyWanted()) {
+            peer.dueAnswers.add(customer);
             enqueuePeer(peer, null);
         }
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void handleAnswer(double now, PeerState peer, PeerMessage.Entry e, int mySerial, boolean toThisLife) {
-        CustomerState c = customers.get(e.customer());
-        if (c == null || c.planNumber != e.plan() || !toThisLife) return;
-        refill(now, c);
-        MemberState m = c.member(peer);
-        if (e.cap() && e.capUnitsGiven() > m.capUnitsTaken) {
-            c.capTokens = Math.min(maxCapTokens(c) - c.unsentUnits, c.capTokens + e.capUnitsGiven() - m.capUnitsTaken);
-            m.capUnitsTaken = e.capUnitsGiven();
+    private void handleAnswer(double now, PeerState peer, PeerMessage.Entry entry, int mySerial, boolean toThisLife) {
+        CustomerState customer = customers.get(entry.customer());
+        if (customer == null || customer.planNumber != entry.plan() || !toThisLife) return;
+        refill(now, customer);
+        MemberState member = customer.member(peer);
+        if (entry.cap() && entry.capUnitsGiven() > member.capUnitsTaken) {
+            customer.capTokens = Math.min(
+                    maxCapTokens(customer) - customer.unsentUnits,
+                    customer.capTokens + entry.capUnitsGiven() - member.capUnitsTaken);
+            member.capUnitsTaken = entry.capUnitsGiven();
         }
-        List<RequestState> judged = c.pending.stream()
-                .filter(a -> a.askedOwner == peer.number && !PeerMessage.isAfter(a.querySerial, mySerial))
+        List<RequestState> judged = customer.pending.stream()
+                .filter(query -> query.askedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, mySerial))
                 .toList();
-        if (!e.uninformed()) {
-            c.othersDemand = e.demand();
-            c.othersOpenRequests = e.openRequests();
-            c.sharedLevelAt = now;
-            c.informed = true;
-            c.quotaLevel = e.fullness() * c.plan.burst() - PeerMessage.unitsAhead(c.usedUnits, e.usedUnits());
+        if (!entry.uninformed()) {
+            customer.othersDemand = entry.demand();
+            customer.othersOpenRequests = entry.openRequests();
+            customer.sharedLevelAt = now;
+            customer.informed = true;
+            customer.quotaLevel = entry.fullness() * customer.plan.burst()
+                    - PeerMessage.unitsAhead(customer.usedUnits, entry.usedUnits());
         }
-        double granted = e.wantedUnits();
-        for (RequestState ask : judged) {
-            double units = ask.details.units();
-            if (e.uninformed() && ask.ownerIndex + 1 < c.owners.length) {
-                askOwner(now, ask, ask.ownerIndex + 1);
+        double granted = entry.wantedUnits();
+        for (RequestState request : judged) {
+            double units = request.details.units();
+            if (entry.uninformed() && request.ownerIndex + 1 < customer.owners.length) {
+                askOwner(now, request, request.ownerIndex + 1);
                 continue;
             }
-            c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.capRate() <= 0 || c.capTokens >= units);
-            granted -= in ? units : 0;
-            admitOrRefuse(now, ask, in);
-            int first = c.owners[0]; // it did not book what another let in
-            if (in && peer.number != first && first != settings.gatewayNumber()) enqueuePeer(peers[first], c);
+            customer.pending.remove(request);
+            boolean admits = granted >= units && (customer.plan.capRate() <= 0 || customer.capTokens >= units);
+            granted -= admits ? units : 0;
+            admitOrRefuse(now, request, admits);
+            int first = customer.owners[0]; // it did not book what another let in
+            if (admits && peer.number != first && first != settings.gatewayNumber())
+                enqueuePeer(peers[first], customer);
         }
     }
 
@@ -994,9 +1060,9 @@
         LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
         while (attemptsInFlight < bound) {
             ClassState next = null;
-            for (ClassState c : classes.values()) {
-                boolean earlier = next == null || c.virtualTime < next.virtualTime;
-                if (earlier && !c.queue.isEmpty() && !stuck.contains(c)) next = c;
+            for (ClassState classState : classes.values()) {
+                boolean earlier = next == null || classState.virtualTime < next.virtualTime;
+                if (earlier && !classState.queue.isEmpty() && !stuck.contains(classState)) next = classState;
             }
             if (next == null) return;
             if (!releaseOne(now, next)) stuck.add(next);
@@ -1004,84 +1070,89 @@
         requestsWaited = true;
     }
 
-    private boolean releaseOne(double now, ClassState c) {
-        for (RequestState ask : c.queue.stream().limit(MAX_SCANNED).toList()) {
-            TrackedHost s = pickHost(now, ask);
-            if (s == null) continue;
-            c.queue.remove(ask);
-            virtualTime = Math.max(virtualTime, c.virtualTime);
-            c.virtualTime += ask.expectedMs() / c.weight;
-            boolean goesOn = !c.queue.isEmpty();
-            if (goesOn && c.releasedAt > DecisionState.NEVER) {
-                c.meanReleaseGap += RELEASE_GAP_GAIN * (now - c.releasedAt - c.meanReleaseGap);
+    private boolean releaseOne(double now, ClassState classState) {
+        for (RequestState request : classState.queue.stream().limit(MAX_SCANNED).toList()) {
+            TrackedHost host = pickHost(now, request);
+            if (host == null) continue;
+            classState.queue.remove(request);
+            virtualTime = Math.max(virtualTime, classState.virtualTime);
+            classState.virtualTime += request.expectedMs() / classState.weight;
+            boolean goesOn = !classState.queue.isEmpty();
+            if (goesOn && classState.releasedAt > DecisionState.NEVER) {
+                classState.meanReleaseGap +=
+                        RELEASE_GAP_GAIN * (now - classState.releasedAt - classState.meanReleaseGap);
             }
-            c.releasedAt = goesOn ? now : DecisionState.NEVER;
-            sendAttempt(now, ask, s);
+            classState.releasedAt = goesOn ? now : DecisionState.NEVER;
+            sendAttempt(now, request, host);
             return true;
         }
         return false;
     }
 
-    private void sendAttempt(double now, RequestState ask, TrackedHost s) {
-        Attempt a = new Attempt(ask, s, now, ask.expectedMs());
-        if (ask.attempts.isEmpty()) {
+    private void sendAttempt(double now, RequestState request, TrackedHost host) {
+        Attempt attempt = new Attempt(request, host, now, request.expectedMs());
+        if (request.attempts.isEmpty()) {
             retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_BUDGET_SHARE);
-            ask.classState.recordDelay(now - ask.arrivedAt, 0);
-            if (ask.customer != null) ask.customer.unsentUnits -= ask.details.units();
+            request.classState.recordDelay(now - request.arrivedAt, 0);
+            if (request.customer != null) request.customer.unsentUnits -= request.details.units();
         }
-        a.begin();
-        busyHosts.add(s);
+        attempt.begin();
+        busyHosts.add(host);
         attemptsInFlight++;
-        actions.send(ask.details.id(), s.info.id(), 0);
+        actions.send(request.details.id(), host.info.id(), 0);
     }
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double holdDeadline(RequestState ask) {
-        double end = ask.details.deadlineMs() - DEADLINE_MARGIN_MS;
-        if (ask.firstPossibleRun() != null) return end;
-        double aim = ask.classState.spec.goalMs();
-        double useful = ask.classState.spec.lateValue() >= MIN_LATE_VALUE ? end : Math.min(end, ask.arrivedAt + aim);
-        double hold = useful - ask.arrivedAt - REQUIRED_EXPECTED_TIMES * ask.expectedMs();
-        return Math.min(end, ask.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * aim, hold));
+    private double holdDeadline(RequestState request) {
+        double end = request.details.deadlineMs() - DEADLINE_MARGIN_MS;
+        if (request.firstPossibleRun() != null) return end;
+        double aim = request.classState.spec.goalMs();
+        double useful =
+                request.classState.spec.lateValue() >= MIN_LATE_VALUE ? end : Math.min(end, request.arrivedAt + aim);
+        double hold = useful - request.arrivedAt - REQUIRED_EXPECTED_TIMES * request.expectedMs();
+        return Math.min(end, request.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * aim, hold));
     }
 
     private void expireQueued(double now) {
-        for (ClassState c : classes.values()) {
-            for (RequestState ask :
-                    c.queue.stream().filter(a -> now >= holdDeadline(a)).toList()) {
-                c.recordDelay(now - ask.arrivedAt, 0);
-                finishUnserved(now, ask); // takes it from the queue
+        for (ClassState classState : classes.values()) {
+            for (RequestState request : classState.queue.stream()
+                    .filter(queued -> now >= holdDeadline(queued))
+                    .toList()) {
+                classState.recordDelay(now - request.arrivedAt, 0);
+                finishUnserved(now, request); // takes it from the queue
             }
         }
     }
 
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finishUnserved(double now, RequestState ask) {
-        RequestClass spec = ask.classState.spec;
-        boolean harmless = ask.firstPossibleRun() == null
+    private void finishUnserved(double now, RequestState request) {
+        RequestClass spec = request.classState.spec;
+        boolean harmless = request.firstPossibleRun() == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
-        closeRequest(now, ask);
+        closeRequest(now, request);
         // A place may be had once what is held now has left.
-        double wait = boundRetryAfterMs(ask.classState.queue.size() * ask.classState.meanReleaseGap);
-        if (harmless) actions.refuse(ask.details.id(), wait, Refusal.PLACE);
-        else actions.fail(ask.details.id());
-    }
-
-    private void closeRequest(double now, RequestState ask) {
-        if (!ask.hasAttemptInFlight()) requests.remove(ask.details.id());
-        if (ask.closed) return;
-        ask.closed = true;
-        ask.classState.queue.remove(ask);
-        CustomerState c = ask.customer;
-        if (c == null) return;
-        c.pending.remove(ask);
-        if (!ask.admitted) return;
-        c.openRequests--;
-        if (ask.attempts.stream().allMatch(a -> a.neverSent)) { // let in but never sent: the units go back
-            c.unsentUnits += ask.attempts.isEmpty() ? 0 : ask.details.units(); // taken off as it was to leave
-            charge(now, c, -ask.details.units(), -ask.details.units());
-            if (ask.countedInTotal) addUnreported(c, -ask.details.units());
+        double wait = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
+        if (harmless) actions.refuse(request.details.id(), wait, Refusal.PLACE);
+        else actions.fail(request.details.id());
+    }
+
+    private void closeRequest(double now, RequestState request) {
+        if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
+        if (request.closed) return;
+        request.closed = true;
+        request.classState.queue.remove(request);
+        CustomerState customer = request.customer;
+        if (customer == null) return;
+        customer.pending.remove(request);
+        if (!request.admitted) return;
+        customer.openRequests--;
+        if (request.attempts.stream()
+                .allMatch(attempt -> attempt.neverSent)) { // let in but never sent: the units go back
+            customer.unsentUnits +=
+                    request.attempts.isEmpty() ? 0 : request.details.units(); // taken off as it was to leave
+            charge(now, customer, -request.details.units(), -request.details.units());
+            if (request.countedInTotal) addUnreported(customer, -request.details.units());
         }
     }
 
@@ -1103,22 +1174,23 @@
         }
         latencySum = baselineSum = goalShareSum = 0;
         answerCount = 0;
-        classes.values().forEach(c -> c.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
+        classes.values().forEach(classState -> classState.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
     }
 
     // ---- weights by donation
 
-    static double delayGoalMs(ClassState c) {
-        return c.spec.goalMs() * DELAY_GOAL_SHARE;
+    static double delayGoalMs(ClassState classState) {
+        return classState.spec.goalMs() * DELAY_GOAL_SHARE;
     }
 
     private void adjustWeights(double now) {
         if (now - delayIntervalEndedAt < DELAY_INTERVAL_MS) return;
         delayIntervalEndedAt = now;
-        classes.values().forEach(c -> c.endDelayInterval(ALPHA));
+        classes.values().forEach(classState -> classState.endDelayInterval(ALPHA));
         if (now - donatedAt < donationIntervalMs) return;
         donatedAt = now;
-        if (requestsWaited) classes.values().forEach(c -> c.measureSlope(delayGoalMs(c) * EPSILON));
+        if (requestsWaited)
+            classes.values().forEach(classState -> classState.measureSlope(delayGoalMs(classState) * EPSILON));
         boolean gave = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
         donationIntervalMs =
                 gave ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
@@ -1129,51 +1201,55 @@
     static boolean donateWeight(List<ClassState> all) {
         ClassState worst = null;
         double surplus = 0;
-        for (ClassState c : all) {
-            double over = c.meanDelay / delayGoalMs(c);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / delayGoalMs(worst))) worst = c;
-            surplus += surplus(c);
+        for (ClassState classState : all) {
+            double over = classState.meanDelay / delayGoalMs(classState);
+            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / delayGoalMs(worst)))
+                worst = classState;
+            surplus += surplus(classState);
         }
         if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask =
+        double wanted =
                 worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
-        for (ClassState c : all) {
-            if (surplus(c) <= 0) continue;
-            double clamp = c.delaySlope > 0
-                    ? ((1 - EPSILON) * delayGoalMs(c) - c.meanDelay) / c.delaySlope
+        for (ClassState classState : all) {
+            if (surplus(classState) <= 0) continue;
+            double clamp = classState.delaySlope > 0
+                    ? ((1 - EPSILON) * delayGoalMs(classState) - classState.meanDelay) / classState.delaySlope
                     : INITIAL_WEIGHT_STEP;
-            double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
-            gift = Math.max(0, Math.min(gift, c.weight - MIN_WEIGHT));
-            c.weight -= gift;
+            double gift = BETA * Math.min(wanted * surplus(classState) / surplus, clamp);
+            gift = Math.max(0, Math.min(gift, classState.weight - MIN_WEIGHT));
+            classState.weight -= gift;
             moved += gift;
         }
         worst.weight += moved;
         return moved > 0;
     }
 
-    private static double surplus(ClassState c) {
-        if (c.meanDelay > (1 - EPSILON) * delayGoalMs(c)) return 0;
-        return (delayGoalMs(c) - c.meanDelay) / (c.delaySlope > 0 ? c.delaySlope : delayGoalMs(c));
+    private static double surplus(ClassState classState) {
+        if (classState.meanDelay > (1 - EPSILON) * delayGoalMs(classState)) return 0;
+        return (delayGoalMs(classState) - classState.meanDelay)
+                / (classState.delaySlope > 0 ? classState.delaySlope : delayGoalMs(classState));
     }
 
     // ---- hosts
 
     /** Failures tell of a class on a host, which may serve the others as before; slow answers of the host. */
-    private static double slowness(double now, TrackedHost s, ClassState c) {
-        return s.health.slowness(now) * s.classHealth(c).slowness(now);
+    private static double slowness(double now, TrackedHost host, ClassState classState) {
+        return host.health.slowness(now) * host.classHealth(classState).slowness(now);
     }
 
     @Override
     public int avoidedHostCount(double now) {
         return (int) hosts.values().stream()
-                .filter(s -> s.listed && isAvoided(now, s))
+                .filter(host -> host.listed && isAvoided(now, host))
                 .count();
     }
 
     /** A host that drains, or that is taken to be in trouble for every class. */
-    private boolean isAvoided(double now, TrackedHost s) {
-        return !s.isEligible() || classes.values().stream().allMatch(c -> slowness(now, s, c) >= UNHEALTHY_SLOWNESS);
+    private boolean isAvoided(double now, TrackedHost host) {
+        return !host.isEligible()
+                || classes.values().stream()
+                        .allMatch(classState -> slowness(now, host, classState) >= UNHEALTHY_SLOWNESS);
     }
 
     /** Counts the hosts in use, so that each event needs only look-ups. */
@@ -1181,14 +1257,15 @@
         hostsRefreshedAt = now;
         eligibleHosts.clear();
         warmCapacity = 0;
-        for (TrackedHost s : hosts.values()) {
-            if (!s.isEligible()) continue;
-            eligibleHosts.add(s);
-            warmCapacity += s.health.slowness(now) < FULL_HOST_SLOWNESS ? s.capacityShare(now, settings.rules()) : 0;
+        for (TrackedHost host : hosts.values()) {
+            if (!host.isEligible()) continue;
+            eligibleHosts.add(host);
+            warmCapacity +=
+                    host.health.slowness(now) < FULL_HOST_SLOWNESS ? host.capacityShare(now, settings.rules()) : 0;
         }
         // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
         // each, and tables that do not fill where there are hundreds of gateways.
-        eligibleHosts.sort(Comparator.comparing(s -> s.info.id().hashCode()));
+        eligibleHosts.sort(Comparator.comparing(host -> host.info.id().hashCode()));
         subset.clear();
         int kept = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * eligibleHosts.size() / peers.length);
         for (int i = 0; i < Math.min(kept, eligibleHosts.size()); i++) {
@@ -1201,64 +1278,66 @@
      * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
      * attempts out can tell apart, and where that is all of them, all.
      */
-    private TrackedHost pickHost(double now, RequestState ask) {
+    private TrackedHost pickHost(double now, RequestState request) {
         int draws = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
-        TrackedHost best =
-                bestHost(now, ask, canCompareSubset() ? subset : drawCandidates(now, ask.classState, draws), draws);
-        return best != null ? best : bestHost(now, ask, eligibleHosts, eligibleHosts.size());
+        TrackedHost best = bestHost(
+                now, request, canCompareSubset() ? subset : drawCandidates(now, request.classState, draws), draws);
+        return best != null ? best : bestHost(now, request, eligibleHosts, eligibleHosts.size());
     }
 
     private boolean canCompareSubset() {
         return MIN_CANDIDATES + 2 * attemptsInFlight >= subset.size();
     }
 
-    private Collection<TrackedHost> drawCandidates(double now, ClassState c, int draws) {
+    private Collection<TrackedHost> drawCandidates(double now, ClassState classState, int draws) {
         LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
         for (int i = 0; i < draws * MAX_SCANNED && drawn.size() < draws; i++) {
-            TrackedHost s = subset.get(random.nextInt(subset.size()));
-            if (random.nextDouble() * slowness(now, s, c) <= 1) drawn.add(s);
+            TrackedHost host = subset.get(random.nextInt(subset.size()));
+            if (random.nextDouble() * slowness(now, host, classState) <= 1) drawn.add(host);
         }
         return drawn;
     }
 
-    private TrackedHost bestHost(double now, RequestState ask, Collection<TrackedHost> among, int draws) {
+    private TrackedHost bestHost(double now, RequestState request, Collection<TrackedHost> among, int draws) {
         TrackedHost best = null;
         double bestScore = Double.MAX_VALUE;
-        for (TrackedHost s : among) {
-            if (!s.isEligible() || !mayRunOn(now, ask, ask.firstPossibleRun(), s)) continue;
+        for (TrackedHost host : among) {
+            if (!host.isEligible() || !mayRunOn(now, request, request.firstPossibleRun(), host)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
-            double ramp = s.capacityShare(now, settings.rules());
+            double ramp = host.capacityShare(now, settings.rules());
             double share = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * ramp;
             if (ramp < 1 && random.nextDouble() * draws > share) continue;
-            double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
-            if (score < bestScore) best = s;
+            double score = score(now, request, host) * (1 + 1e-3 * random.nextDouble());
+            if (score < bestScore) best = host;
             bestScore = Math.min(bestScore, score);
         }
         return best;
     }
 
-    private double score(double now, RequestState ask, TrackedHost s) {
-        double doubt = slowness(now, s, ask.classState);
+    private double score(double now, RequestState request, TrackedHost host) {
+        double doubt = slowness(now, host, request.classState);
         if (!canCompareSubset() && doubt < UNHEALTHY_SLOWNESS) doubt = 1; // drawn by it already
-        for (Attempt a : ask.attempts) {
-            if (a.host == s) doubt *= FULL_HOST_SLOWNESS;
+        for (Attempt attempt : request.attempts) {
+            if (attempt.host == host) doubt *= FULL_HOST_SLOWNESS;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone =
-                !canCompareSubset() || s.info.zone().equals(settings.zone()) ? 0 : CROSS_ZONE_COST * ask.expectedMs();
-        return (ask.expectedMs() + s.expectedMsInFlight) * doubt / s.capacityShare(now, settings.rules()) + zone;
+        double zone = !canCompareSubset() || host.info.zone().equals(settings.zone())
+                ? 0
+                : CROSS_ZONE_COST * request.expectedMs();
+        return (request.expectedMs() + host.expectedMsInFlight) * doubt / host.capacityShare(now, settings.rules())
+                + zone;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean mayRunOn(double now, RequestState ask, Attempt ran, TrackedHost s) {
-        return isRepeatable(now, ask, ran)
+    private boolean mayRunOn(double now, RequestState request, Attempt ran, TrackedHost host) {
+        return isRepeatable(now, request, ran)
                 && (ran == null
-                        || ask.classState.spec.effect() != Effect.KEYED
-                        || ask.classState.spec.keyScope().dropsSameKeys(s.info, ran.host.info));
+                        || request.classState.spec.effect() != Effect.KEYED
+                        || request.classState.spec.keyScope().dropsSameKeys(host.info, ran.host.info));
     }
 
-    private boolean isRepeatable(double now, RequestState ask, Attempt ran) {
-        RequestClass spec = ask.classState.spec;
+    private boolean isRepeatable(double now, RequestState request, Attempt ran) {
+        RequestClass spec = request.classState.spec;
         return ran == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && now < ran.sentAt + usableKeyWindowMs(spec);
@@ -1271,59 +1350,63 @@
                 spec.keyWindowMs() - settings.limits().connectTimeoutMs());
     }
 
-    private boolean acquireRetry(double now, RequestState ask) {
-        boolean may = isRepeatable(now, ask, ask.firstPossibleRun())
-                && !ask.streaming
-                && now < holdDeadline(ask)
+    private boolean acquireRetry(double now, RequestState request) {
+        boolean may = isRepeatable(now, request, request.firstPossibleRun())
+                && !request.streaming
+                && now < holdDeadline(request)
                 && retryTokens >= 1
-                && ask.attempts.size() < settings.limits().maxAttempts();
+                && request.attempts.size() < settings.limits().maxAttempts();
         retryTokens -= may ? 1 : 0;
         return may;
     }
 
-    private void recordOutcome(double now, RequestState ask, Attempt a, AttemptResult r) {
-        TrackedHost s = a.host;
-        ClassState c = ask.classState;
-        switch (r.outcome()) {
+    private void recordOutcome(double now, RequestState request, Attempt attempt, AttemptResult result) {
+        TrackedHost host = attempt.host;
+        ClassState classState = request.classState;
+        switch (result.outcome()) {
             case OK -> {
-                s.health.observe(now, r.latencyMs() / Math.max(1, a.expectedMs), LATENCY_GAIN);
-                s.classHealth(c).observe(now, 1, FAILURE_GAIN);
-                double perUnit = r.latencyMs() / Math.max(0.1, ask.details.units());
-                c.samples++;
-                c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
-                c.recordDelay(0, r.latencyMs());
-                if (ask.customer != null && settings.coordination().postPaid() && r.actualUnits() > 0) {
-                    charge(now, ask.customer, r.actualUnits() - ask.details.units(), 0);
-                    if (ask.countedInTotal) addUnreported(ask.customer, r.actualUnits() - ask.details.units());
+                host.health.observe(now, result.latencyMs() / Math.max(1, attempt.expectedMs), LATENCY_GAIN);
+                host.classHealth(classState).observe(now, 1, FAILURE_GAIN);
+                double perUnit = result.latencyMs() / Math.max(0.1, request.details.units());
+                classState.samples++;
+                classState.latencyPerUnit +=
+                        Math.max(0.03, 1.0 / classState.samples) * (perUnit - classState.latencyPerUnit);
+                classState.recordDelay(0, result.latencyMs());
+                if (request.customer != null && settings.coordination().postPaid() && result.actualUnits() > 0) {
+                    charge(now, request.customer, result.actualUnits() - request.details.units(), 0);
+                    if (request.countedInTotal)
+                        addUnreported(request.customer, result.actualUnits() - request.details.units());
                 }
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
-            case CONNECT_FAILED -> s.health.observe(now, Health.MAX_SLOWNESS, 1);
-            case FULL -> s.health.observe(now, FULL_HOST_SLOWNESS, FAILURE_GAIN);
-            case ERROR, RESET, TIMEOUT -> s.classHealth(c).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
+            case CONNECT_FAILED -> host.health.observe(now, Health.MAX_SLOWNESS, 1);
+            case FULL -> host.health.observe(now, FULL_HOST_SLOWNESS, FAILURE_GAIN);
+            case ERROR, RESET, TIMEOUT -> host.classHealth(classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
             default -> {}
         }
-        if (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT) {
-            latencySum += r.latencyMs(); // a time-out is an answer at least that late
-            baselineSum += c.baselineLatency * ask.details.units();
-            goalShareSum += r.latencyMs() / c.spec.goalMs();
+        if (result.outcome() == Outcome.OK || result.outcome() == Outcome.TIMEOUT) {
+            latencySum += result.latencyMs(); // a time-out is an answer at least that late
+            baselineSum += classState.baselineLatency * request.details.units();
+            goalShareSum += result.latencyMs() / classState.spec.goalMs();
             answerCount++;
         }
-        if (ask.customer != null) applyMeterReading(now, ask.customer, r.meterReading());
+        if (request.customer != null) applyMeterReading(now, request.customer, result.meterReading());
     }
 
     private void checkOverdueAttempts(double now) {
-        for (TrackedHost s : new ArrayList<>(busyHosts)) {
-            for (Attempt a : new ArrayList<>(s.attemptsInFlight)) {
-                double expected = a.expectedMs * Math.max(1, s.health.slowness(now));
-                if (a.overdue || now - a.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS) continue;
-                a.overdue = true;
-                s.classHealth(a.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
-                boolean useful =
-                        !a.request.closed && !a.request.streaming && now + a.expectedMs < holdDeadline(a.request);
-                boolean safe = a.request.classState.spec.effect() != Effect.ONCE
+        for (TrackedHost host : new ArrayList<>(busyHosts)) {
+            for (Attempt attempt : new ArrayList<>(host.attemptsInFlight)) {
+                double expected = attempt.expectedMs * Math.max(1, host.health.slowness(now));
+                if (attempt.overdue || now - attempt.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS)
+                    continue;
+                attempt.overdue = true;
+                host.classHealth(attempt.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
+                boolean useful = !attempt.request.closed
+                        && !attempt.request.streaming
+                        && now + attempt.expectedMs < holdDeadline(attempt.request);
+                boolean safe = attempt.request.classState.spec.effect() != Effect.ONCE
                         && settings.limits().mayCancel();
-                if (useful && safe && retryTokens >= 1) actions.cancel(a.request.details.id(), a.number);
+                if (useful && safe && retryTokens >= 1) actions.cancel(attempt.request.details.id(), attempt.number);
             }
         }
     }
@@ -1331,10 +1414,12 @@
     private void evictIdle(double now) {
         if (now - sweptAt < SWEEP_INTERVAL_MS) return;
         sweptAt = now;
-        unreportedCustomers.removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS);
+        unreportedCustomers.removeIf(customer -> now - customer.refilledAt > IDLE_EXPIRY_MS);
         customers
                 .values()
-                .removeIf(c -> now - c.refilledAt > IDLE_EXPIRY_MS && c.openRequests == 0 && c.pending.isEmpty());
-        hosts.values().removeIf(s -> !s.listed && s.attemptsInFlight.isEmpty());
+                .removeIf(customer -> now - customer.refilledAt > IDLE_EXPIRY_MS
+                        && customer.openRequests == 0
+                        && customer.pending.isEmpty());
+        hosts.values().removeIf(host -> !host.listed && host.attemptsInFlight.isEmpty());
     }
 }
