--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -216,8 +216,8 @@
         classState.queue.addLast(request);
         releaseQueued(now);
         // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !request.closed && request.attempts.isEmpty();
-        if (held && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
+        boolean queued = !request.closed && request.attempts.isEmpty();
+        if (queued && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
             finishUnserved(now, request);
     }
 
@@ -850,13 +850,15 @@
 
     /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
     private void flushOutbox(double now) {
-        double rate = Math.max(1, settings.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
-        messageTokens =
-                Math.min(Math.max(1, rate * PEER_MESSAGE_BURST_MS), messageTokens + (now - messageTokensAt) * rate / 2);
+        double ratePerMs =
+                Math.max(1, settings.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
+        messageTokens = Math.min(
+                Math.max(1, ratePerMs * PEER_MESSAGE_BURST_MS),
+                messageTokens + (now - messageTokensAt) * ratePerMs / 2);
         messageTokensAt = now;
-        double gap = Math.min(MAX_PEER_MESSAGE_GAP_MS, (peers.length - 1) / rate);
+        double minGapMs = Math.min(MAX_PEER_MESSAGE_GAP_MS, (peers.length - 1) / ratePerMs);
         for (PeerState peer : new ArrayList<>(outbox)) {
-            if (now - peer.sentAt < gap || peer.dueAnswers.isEmpty() && messageTokens < 1) continue;
+            if (now - peer.sentAt < minGapMs || peer.dueAnswers.isEmpty() && messageTokens < 1) continue;
             if (peer.dueAnswers.isEmpty()) messageTokens -= 1;
             sendMessage(now, peer);
             if (!peer.dueReports.isEmpty() || !peer.dueAnswers.isEmpty()) continue;
@@ -888,34 +890,34 @@
     private PeerMessage.Entry reportEntry(double now, CustomerState customer, PeerState owner) {
         for (RequestState request : customer.pending)
             if (request.askedOwner == owner.number) request.querySerial = owner.sentSerial;
-        double want = customer.pendingUnits();
-        boolean asked = decidingOwner(now, customer, 0) == owner.number
+        double wantedUnits = customer.pendingUnits();
+        boolean replyWanted = decidingOwner(now, customer, 0) == owner.number
                 || now < owner.unresponsiveUntil
                 || customer.pending.stream().anyMatch(request -> request.askedOwner == owner.number);
-        boolean view = decidingOwner(now, customer, 0) == settings.gatewayNumber()
+        boolean hasLevel = decidingOwner(now, customer, 0) == settings.gatewayNumber()
                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
-                asked,
-                customer.plan.capRate() > 0 && customer.capTokens < want,
+                replyWanted,
+                customer.plan.capRate() > 0 && customer.capTokens < wantedUnits,
                 false,
-                view,
+                hasLevel,
                 customer.id,
                 customer.planNumber,
                 customer.first,
                 customer.spread,
                 customer.usedUnits,
-                want,
+                wantedUnits,
                 customer.demand,
                 customer.fullness(),
                 customer.openRequests,
                 0);
     }
 
-    private PeerMessage.Entry answerEntry(double now, CustomerState customer, PeerState to) {
-        MemberState member = customer.member(to);
-        double theirs = member.demand * Math.exp(-(now - member.demandAt) / DEMAND_AVERAGING_MS);
-        double others = Math.max(0, customer.demand + customer.othersDemand - theirs);
+    private PeerMessage.Entry answerEntry(double now, CustomerState customer, PeerState peer) {
+        MemberState member = customer.member(peer);
+        double peerDemand = member.demand * Math.exp(-(now - member.demandAt) / DEMAND_AVERAGING_MS);
+        double othersDemand = Math.max(0, customer.demand + customer.othersDemand - peerDemand);
         return new PeerMessage.Entry(
                 true,
                 false,
@@ -928,7 +930,7 @@
                 customer.spread,
                 member.bookedUnits,
                 member.grantedUnits,
-                others,
+                othersDemand,
                 customer.fullness(),
                 customer.openRequests + customer.othersOpenRequests - member.openRequests,
                 member.capUnitsGiven);
@@ -936,24 +938,25 @@
 
     @Override
     public void peerMessageReceived(double now, int from, byte[] data) {
-        PeerMessage tell =
+        PeerMessage message =
                 from < 0 || from >= peers.length || from == settings.gatewayNumber() ? null : PeerMessage.decode(data);
-        if (tell == null) return; // unknown sender, or damaged
+        if (message == null) return; // unknown sender, or damaged
         PeerState peer = peers[from];
-        boolean sameLife = peer.heardFrom && tell.epoch() == peer.epoch;
+        boolean sameEpoch = peer.heardFrom && message.epoch() == peer.epoch;
         // Overtaken on the way, told twice, or from before the sender's restart.
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
-        boolean late =
-                sameLife ? !PeerMessage.isAfter(tell.serial(), peer.receivedSerial) : tell.epoch() - peer.epoch < 0;
-        if (peer.heardFrom && late) return;
+        boolean outdated = sameEpoch
+                ? !PeerMessage.isAfter(message.serial(), peer.receivedSerial)
+                : message.epoch() - peer.epoch < 0;
+        if (peer.heardFrom && outdated) return;
         peer.heardFrom = true;
-        peer.epoch = tell.epoch();
-        peer.receivedSerial = tell.serial();
+        peer.epoch = message.epoch();
+        peer.receivedSerial = message.serial();
         peer.unresponsiveUntil = DecisionState.NEVER;
-        boolean toThisLife = tell.receiverEpoch() == epoch;
-        for (PeerMessage.Entry entry : tell.entries()) {
+        boolean toThisEpoch = message.receiverEpoch() == epoch;
+        for (PeerMessage.Entry entry : message.entries()) {
             if (entry.plan() >= settings.plans().size()) continue;
-            if (entry.answer()) handleAnswer(now, peer, entry, tell.receivedSerial(), toThisLife);
+            if (entry.answer()) handleAnswer(now, peer, entry, message.receivedSerial(), toThisEpoch);
             else handleReport(now, peer, entry);
         }
         flushOutbox(now);
@@ -961,15 +964,15 @@
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
     private void handleReport(double now, PeerState peer, PeerMessage.Entry entry) {
-        int place = Math.floorMod(peer.number - entry.first(), peers.length);
-        if (entry.spread() > peers.length || place >= entry.spread()) return; // a set that cannot be
+        int position = Math.floorMod(peer.number - entry.first(), peers.length);
+        if (entry.spread() > peers.length || position >= entry.spread()) return; // a set that cannot be
         CustomerState customer = customerState(now, entry.customer(), entry.plan(), entry.first(), entry.spread());
         if (IntStream.of(customer.owners).noneMatch(owner -> owner == settings.gatewayNumber())) return;
-        boolean unsure = isUninformed(now, customer);
-        boolean adopts = entry.hasLevel() && (unsure || decidingOwner(now, customer, 0) == peer.number);
-        if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
+        boolean uninformed = isUninformed(now, customer);
+        boolean adoptsLevel = entry.hasLevel() && (uninformed || decidingOwner(now, customer, 0) == peer.number);
+        if (adoptsLevel) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
             customer.quotaLevel = Math.min(
-                    unsure ? customer.quotaLevel : customer.plan.burst(), entry.fullness() * customer.plan.burst());
+                    uninformed ? customer.quotaLevel : customer.plan.burst(), entry.fullness() * customer.plan.burst());
             customer.informed = true;
         }
         MemberState member = customer.member(peer);
@@ -982,21 +985,21 @@
         member.demandAt = now;
         customer.othersOpenRequests += entry.openRequests() - member.openRequests;
         member.openRequests = entry.openRequests();
-        double spent =
-                member.hasReported && !adopts ? PeerMessage.unitsAhead(entry.usedUnits(), member.bookedUnits) : 0;
+        double spentUnits =
+                member.hasReported && !adoptsLevel ? PeerMessage.unitsAhead(entry.usedUnits(), member.bookedUnits) : 0;
         member.hasReported = true;
         customer.quotaLevel =
-                Math.max(-customer.plan.burst(), Math.min(customer.plan.burst(), customer.quotaLevel - spent));
-        boolean gives = entry.cap() && customer.plan.capRate() > 0;
+                Math.max(-customer.plan.burst(), Math.min(customer.plan.burst(), customer.quotaLevel - spentUnits));
+        boolean givesCapUnits = entry.cap() && customer.plan.capRate() > 0;
         boolean grants = entry.wantedUnits() > 0
                 && (customer.plan.rate() <= 0 || customer.quotaLevel >= entry.wantedUnits())
-                && (!gives || customer.capTokens >= entry.wantedUnits());
+                && (!givesCapUnits || customer.capTokens >= entry.wantedUnits());
         member.grantedUnits = grants ? entry.wantedUnits() : 0;
         member.bookedUnits = entry.usedUnits() + member.grantedUnits;
         customer.quotaLevel -= member.grantedUnits;
-        if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spent + member.grantedUnits != 0)
+        if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spentUnits + member.grantedUnits != 0)
             notifyOwners(now, customer);
-        if (grants && gives && entry.replyWanted()) { // deducted here first, so a lost message loses units
+        if (grants && givesCapUnits && entry.replyWanted()) { // deducted here first, so a lost message loses units
             customer.capTokens -= entry.wantedUnits();
             member.capUnitsGiven += entry.wantedUnits();
         }
@@ -1007,9 +1010,10 @@
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void handleAnswer(double now, PeerState peer, PeerMessage.Entry entry, int mySerial, boolean toThisLife) {
+    private void handleAnswer(
+            double now, PeerState peer, PeerMessage.Entry entry, int answeredSerial, boolean toThisEpoch) {
         CustomerState customer = customers.get(entry.customer());
-        if (customer == null || customer.planNumber != entry.plan() || !toThisLife) return;
+        if (customer == null || customer.planNumber != entry.plan() || !toThisEpoch) return;
         refill(now, customer);
         MemberState member = customer.member(peer);
         if (entry.cap() && entry.capUnitsGiven() > member.capUnitsTaken) {
@@ -1018,8 +1022,9 @@
                     customer.capTokens + entry.capUnitsGiven() - member.capUnitsTaken);
             member.capUnitsTaken = entry.capUnitsGiven();
         }
-        List<RequestState> judged = customer.pending.stream()
-                .filter(query -> query.askedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, mySerial))
+        List<RequestState> answeredRequests = customer.pending.stream()
+                .filter(query ->
+                        query.askedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, answeredSerial))
                 .toList();
         if (!entry.uninformed()) {
             customer.othersDemand = entry.demand();
@@ -1029,20 +1034,20 @@
             customer.quotaLevel = entry.fullness() * customer.plan.burst()
                     - PeerMessage.unitsAhead(customer.usedUnits, entry.usedUnits());
         }
-        double granted = entry.wantedUnits();
-        for (RequestState request : judged) {
+        double grantedUnits = entry.wantedUnits();
+        for (RequestState request : answeredRequests) {
             double units = request.details.units();
             if (entry.uninformed() && request.ownerIndex + 1 < customer.owners.length) {
                 askOwner(now, request, request.ownerIndex + 1);
                 continue;
             }
             customer.pending.remove(request);
-            boolean admits = granted >= units && (customer.plan.capRate() <= 0 || customer.capTokens >= units);
-            granted -= admits ? units : 0;
+            boolean admits = grantedUnits >= units && (customer.plan.capRate() <= 0 || customer.capTokens >= units);
+            grantedUnits -= admits ? units : 0;
             admitOrRefuse(now, request, admits);
-            int first = customer.owners[0]; // it did not book what another let in
-            if (admits && peer.number != first && first != settings.gatewayNumber())
-                enqueuePeer(peers[first], customer);
+            int primaryOwner = customer.owners[0]; // it did not book what another let in
+            if (admits && peer.number != primaryOwner && primaryOwner != settings.gatewayNumber())
+                enqueuePeer(peers[primaryOwner], customer);
         }
     }
 
@@ -1050,39 +1055,39 @@
 
     /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
     private double concurrencyLimit() {
-        double even = concurrencyPerHost * Math.max(1, warmCapacity) / (peers.length * processCount);
-        return Math.max(1, even + BURST_HEADROOM * Math.sqrt(even) * (1 - 1.0 / peers.length));
+        double evenShare = concurrencyPerHost * Math.max(1, warmCapacity) / (peers.length * processCount);
+        return Math.max(1, evenShare + BURST_HEADROOM * Math.sqrt(evenShare) * (1 - 1.0 / peers.length));
     }
 
     /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
     private void releaseQueued(double now) {
-        double bound = concurrencyLimit();
-        LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
-        while (attemptsInFlight < bound) {
+        double limit = concurrencyLimit();
+        LinkedHashSet<ClassState> blocked = new LinkedHashSet<>();
+        while (attemptsInFlight < limit) {
             ClassState next = null;
             for (ClassState classState : classes.values()) {
                 boolean earlier = next == null || classState.virtualTime < next.virtualTime;
-                if (earlier && !classState.queue.isEmpty() && !stuck.contains(classState)) next = classState;
+                if (earlier && !classState.queue.isEmpty() && !blocked.contains(classState)) next = classState;
             }
             if (next == null) return;
-            if (!releaseOne(now, next)) stuck.add(next);
+            if (!releaseNext(now, next)) blocked.add(next);
         }
         requestsWaited = true;
     }
 
-    private boolean releaseOne(double now, ClassState classState) {
+    private boolean releaseNext(double now, ClassState classState) {
         for (RequestState request : classState.queue.stream().limit(MAX_SCANNED).toList()) {
             TrackedHost host = pickHost(now, request);
             if (host == null) continue;
             classState.queue.remove(request);
             virtualTime = Math.max(virtualTime, classState.virtualTime);
             classState.virtualTime += request.expectedMs() / classState.weight;
-            boolean goesOn = !classState.queue.isEmpty();
-            if (goesOn && classState.releasedAt > DecisionState.NEVER) {
+            boolean backlogged = !classState.queue.isEmpty();
+            if (backlogged && classState.releasedAt > DecisionState.NEVER) {
                 classState.meanReleaseGap +=
                         RELEASE_GAP_GAIN * (now - classState.releasedAt - classState.meanReleaseGap);
             }
-            classState.releasedAt = goesOn ? now : DecisionState.NEVER;
+            classState.releasedAt = backlogged ? now : DecisionState.NEVER;
             sendAttempt(now, request, host);
             return true;
         }
@@ -1104,13 +1109,14 @@
 
     /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
     private double holdDeadline(RequestState request) {
-        double end = request.details.deadlineMs() - DEADLINE_MARGIN_MS;
-        if (request.firstPossibleRun() != null) return end;
-        double aim = request.classState.spec.goalMs();
-        double useful =
-                request.classState.spec.lateValue() >= MIN_LATE_VALUE ? end : Math.min(end, request.arrivedAt + aim);
-        double hold = useful - request.arrivedAt - REQUIRED_EXPECTED_TIMES * request.expectedMs();
-        return Math.min(end, request.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * aim, hold));
+        double deadline = request.details.deadlineMs() - DEADLINE_MARGIN_MS;
+        if (request.firstPossibleRun() != null) return deadline;
+        double goal = request.classState.spec.goalMs();
+        double usefulUntil = request.classState.spec.lateValue() >= MIN_LATE_VALUE
+                ? deadline
+                : Math.min(deadline, request.arrivedAt + goal);
+        double maxHold = usefulUntil - request.arrivedAt - REQUIRED_EXPECTED_TIMES * request.expectedMs();
+        return Math.min(deadline, request.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * goal, maxHold));
     }
 
     private void expireQueued(double now) {
@@ -1127,13 +1133,13 @@
     /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
     private void finishUnserved(double now, RequestState request) {
         RequestClass spec = request.classState.spec;
-        boolean harmless = request.firstPossibleRun() == null
+        boolean retryIsSafe = request.firstPossibleRun() == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         closeRequest(now, request);
         // A place may be had once what is held now has left.
-        double wait = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
-        if (harmless) actions.refuse(request.details.id(), wait, Refusal.PLACE);
+        double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
+        if (retryIsSafe) actions.refuse(request.details.id(), waitMs, Refusal.PLACE);
         else actions.fail(request.details.id());
     }
 
@@ -1164,10 +1170,10 @@
                 && now - concurrencyAdjustedAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
         concurrencyAdjustedAt = now;
         if (answerCount > 0) {
-            boolean stretched = latencySum > QUEUEING_LATENCY_RATIO * baselineSum
+            boolean queueing = latencySum > QUEUEING_LATENCY_RATIO * baselineSum
                             && goalShareSum > HARMLESS_GOAL_SHARE * answerCount
                     || goalShareSum > QUEUEING_GOAL_SHARE * answerCount;
-            if (stretched)
+            if (queueing)
                 concurrencyPerHost = Math.max(MIN_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_DECREASE);
             else if (requestsWaited)
                 concurrencyPerHost = Math.min(MAX_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_INCREASE);
@@ -1191,19 +1197,19 @@
         donatedAt = now;
         if (requestsWaited)
             classes.values().forEach(classState -> classState.measureSlope(delayGoalMs(classState) * EPSILON));
-        boolean gave = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
+        boolean donated = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
         donationIntervalMs =
-                gave ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
+                donated ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2) : MIN_DONATION_INTERVAL_MS;
         requestsWaited = false;
     }
 
     /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
-    static boolean donateWeight(List<ClassState> all) {
+    static boolean donateWeight(List<ClassState> classStates) {
         ClassState worst = null;
         double surplus = 0;
-        for (ClassState classState : all) {
-            double over = classState.meanDelay / delayGoalMs(classState);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.meanDelay / delayGoalMs(worst)))
+        for (ClassState classState : classStates) {
+            double delayRatio = classState.meanDelay / delayGoalMs(classState);
+            if (delayRatio >= 1 + EPSILON && (worst == null || delayRatio > worst.meanDelay / delayGoalMs(worst)))
                 worst = classState;
             surplus += surplus(classState);
         }
@@ -1211,15 +1217,15 @@
         double wanted =
                 worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
-        for (ClassState classState : all) {
+        for (ClassState classState : classStates) {
             if (surplus(classState) <= 0) continue;
-            double clamp = classState.delaySlope > 0
+            double maxDonation = classState.delaySlope > 0
                     ? ((1 - EPSILON) * delayGoalMs(classState) - classState.meanDelay) / classState.delaySlope
                     : INITIAL_WEIGHT_STEP;
-            double gift = BETA * Math.min(wanted * surplus(classState) / surplus, clamp);
-            gift = Math.max(0, Math.min(gift, classState.weight - MIN_WEIGHT));
-            classState.weight -= gift;
-            moved += gift;
+            double donation = BETA * Math.min(wanted * surplus(classState) / surplus, maxDonation);
+            donation = Math.max(0, Math.min(donation, classState.weight - MIN_WEIGHT));
+            classState.weight -= donation;
+            moved += donation;
         }
         worst.weight += moved;
         return moved > 0;
@@ -1267,9 +1273,10 @@
         // each, and tables that do not fill where there are hundreds of gateways.
         eligibleHosts.sort(Comparator.comparing(host -> host.info.id().hashCode()));
         subset.clear();
-        int kept = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * eligibleHosts.size() / peers.length);
-        for (int i = 0; i < Math.min(kept, eligibleHosts.size()); i++) {
-            subset.add(eligibleHosts.get((int) (((long) settings.gatewayNumber() * kept + i) % eligibleHosts.size())));
+        int subsetSize = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * eligibleHosts.size() / peers.length);
+        for (int i = 0; i < Math.min(subsetSize, eligibleHosts.size()); i++) {
+            subset.add(eligibleHosts.get(
+                    (int) (((long) settings.gatewayNumber() * subsetSize + i) % eligibleHosts.size())));
         }
     }
 
@@ -1279,9 +1286,12 @@
      * attempts out can tell apart, and where that is all of them, all.
      */
     private TrackedHost pickHost(double now, RequestState request) {
-        int draws = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
+        int candidateCount = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
         TrackedHost best = bestHost(
-                now, request, canCompareSubset() ? subset : drawCandidates(now, request.classState, draws), draws);
+                now,
+                request,
+                canCompareSubset() ? subset : drawCandidates(now, request.classState, candidateCount),
+                candidateCount);
         return best != null ? best : bestHost(now, request, eligibleHosts, eligibleHosts.size());
     }
 
@@ -1289,24 +1299,25 @@
         return MIN_CANDIDATES + 2 * attemptsInFlight >= subset.size();
     }
 
-    private Collection<TrackedHost> drawCandidates(double now, ClassState classState, int draws) {
-        LinkedHashSet<TrackedHost> drawn = new LinkedHashSet<>();
-        for (int i = 0; i < draws * MAX_SCANNED && drawn.size() < draws; i++) {
+    private Collection<TrackedHost> drawCandidates(double now, ClassState classState, int candidateCount) {
+        LinkedHashSet<TrackedHost> candidates = new LinkedHashSet<>();
+        for (int i = 0; i < candidateCount * MAX_SCANNED && candidates.size() < candidateCount; i++) {
             TrackedHost host = subset.get(random.nextInt(subset.size()));
-            if (random.nextDouble() * slowness(now, host, classState) <= 1) drawn.add(host);
+            if (random.nextDouble() * slowness(now, host, classState) <= 1) candidates.add(host);
         }
-        return drawn;
+        return candidates;
     }
 
-    private TrackedHost bestHost(double now, RequestState request, Collection<TrackedHost> among, int draws) {
+    private TrackedHost bestHost(
+            double now, RequestState request, Collection<TrackedHost> candidates, int candidateCount) {
         TrackedHost best = null;
         double bestScore = Double.MAX_VALUE;
-        for (TrackedHost host : among) {
+        for (TrackedHost host : candidates) {
             if (!host.isEligible() || !mayRunOn(now, request, request.firstPossibleRun(), host)) continue;
             // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
-            double ramp = host.capacityShare(now, settings.rules());
-            double share = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * ramp;
-            if (ramp < 1 && random.nextDouble() * draws > share) continue;
+            double capacityShare = host.capacityShare(now, settings.rules());
+            double allowance = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * capacityShare;
+            if (capacityShare < 1 && random.nextDouble() * candidateCount > allowance) continue;
             double score = score(now, request, host) * (1 + 1e-3 * random.nextDouble());
             if (score < bestScore) best = host;
             bestScore = Math.min(bestScore, score);
@@ -1315,32 +1326,32 @@
     }
 
     private double score(double now, RequestState request, TrackedHost host) {
-        double doubt = slowness(now, host, request.classState);
-        if (!canCompareSubset() && doubt < UNHEALTHY_SLOWNESS) doubt = 1; // drawn by it already
+        double slowness = slowness(now, host, request.classState);
+        if (!canCompareSubset() && slowness < UNHEALTHY_SLOWNESS) slowness = 1; // drawn by it already
         for (Attempt attempt : request.attempts) {
-            if (attempt.host == host) doubt *= FULL_HOST_SLOWNESS;
+            if (attempt.host == host) slowness *= FULL_HOST_SLOWNESS;
         }
         // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !canCompareSubset() || host.info.zone().equals(settings.zone())
+        double zoneCost = !canCompareSubset() || host.info.zone().equals(settings.zone())
                 ? 0
                 : CROSS_ZONE_COST * request.expectedMs();
-        return (request.expectedMs() + host.expectedMsInFlight) * doubt / host.capacityShare(now, settings.rules())
-                + zone;
+        return (request.expectedMs() + host.expectedMsInFlight) * slowness / host.capacityShare(now, settings.rules())
+                + zoneCost;
     }
 
     /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean mayRunOn(double now, RequestState request, Attempt ran, TrackedHost host) {
-        return isRepeatable(now, request, ran)
-                && (ran == null
+    private boolean mayRunOn(double now, RequestState request, Attempt possibleRun, TrackedHost host) {
+        return isRepeatable(now, request, possibleRun)
+                && (possibleRun == null
                         || request.classState.spec.effect() != Effect.KEYED
-                        || request.classState.spec.keyScope().dropsSameKeys(host.info, ran.host.info));
+                        || request.classState.spec.keyScope().dropsSameKeys(host.info, possibleRun.host.info));
     }
 
-    private boolean isRepeatable(double now, RequestState request, Attempt ran) {
+    private boolean isRepeatable(double now, RequestState request, Attempt possibleRun) {
         RequestClass spec = request.classState.spec;
-        return ran == null
+        return possibleRun == null
                 || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && now < ran.sentAt + usableKeyWindowMs(spec);
+                || spec.effect() == Effect.KEYED && now < possibleRun.sentAt + usableKeyWindowMs(spec);
     }
 
     /** A further attempt may first wait for a connection as long as one may take to come up. */
@@ -1351,13 +1362,13 @@
     }
 
     private boolean acquireRetry(double now, RequestState request) {
-        boolean may = isRepeatable(now, request, request.firstPossibleRun())
+        boolean allowed = isRepeatable(now, request, request.firstPossibleRun())
                 && !request.streaming
                 && now < holdDeadline(request)
                 && retryTokens >= 1
                 && request.attempts.size() < settings.limits().maxAttempts();
-        retryTokens -= may ? 1 : 0;
-        return may;
+        retryTokens -= allowed ? 1 : 0;
+        return allowed;
     }
 
     private void recordOutcome(double now, RequestState request, Attempt attempt, AttemptResult result) {
@@ -1396,8 +1407,8 @@
     private void checkOverdueAttempts(double now) {
         for (TrackedHost host : new ArrayList<>(busyHosts)) {
             for (Attempt attempt : new ArrayList<>(host.attemptsInFlight)) {
-                double expected = attempt.expectedMs * Math.max(1, host.health.slowness(now));
-                if (attempt.overdue || now - attempt.sentAt <= OVERDUE_EXPECTED_TIMES * expected + OVERDUE_MIN_MS)
+                double expectedMs = attempt.expectedMs * Math.max(1, host.health.slowness(now));
+                if (attempt.overdue || now - attempt.sentAt <= OVERDUE_EXPECTED_TIMES * expectedMs + OVERDUE_MIN_MS)
                     continue;
                 attempt.overdue = true;
                 host.classHealth(attempt.request.classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
