--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1,9 +1,37 @@
 package deckfall;
 
 import deckfall.AdmissionEstimate.CounterVerdict;
-import deckfall.DecisionState.*;
-import deckfall.Gateway.*;
-import java.util.*;
+import deckfall.DecisionState.Attempt;
+import deckfall.DecisionState.ClassState;
+import deckfall.DecisionState.CustomerState;
+import deckfall.DecisionState.Health;
+import deckfall.DecisionState.MemberState;
+import deckfall.DecisionState.PeerState;
+import deckfall.DecisionState.RequestState;
+import deckfall.DecisionState.TrackedHost;
+import deckfall.Gateway.Actions;
+import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.CustomerSnapshot;
+import deckfall.Gateway.Effect;
+import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
+import deckfall.Gateway.Outcome;
+import deckfall.Gateway.Plan;
+import deckfall.Gateway.Refusal;
+import deckfall.Gateway.Request;
+import deckfall.Gateway.RequestClass;
+import deckfall.Gateway.Settings;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
 import java.util.stream.IntStream;
 
 /**
