--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -55,7 +55,7 @@
     private static final double OTHERS_FREE_SHARE = 0.5; // of what the others hold, that may be free
     private static final double UNSEEN_USE_SHARE = 0.6; // of the rate: what others may use unseen beside their demand
     // Admission in a set so wide that no part holds a request
-    private static final double MIN_LAPSED_BURSTS = 1; // bursts beyond the store from which a count is put right
+    private static final double MIN_EXPIRED_BURSTS = 1; // bursts beyond the store from which a count is put right
     private static final double EVIDENCE_BURSTS = 2; // bursts' times for which an answer tells of more
     private static final double MAX_EXCESS_COST_SHARE = 0.03; // of the worth let in, that excess is expected to cost
     private static final double MARGIN_STEP = 1.05; // growth with a request let in above that bound
@@ -599,7 +599,7 @@
     }
 
     /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-    private void charge(double now, CustomerState customer, double units, double ceilingUnits) {
+    private void charge(double now, CustomerState customer, double units, double capUnits) {
         customer.ownTokens = Math.max(customer.ownTokens - units, -customer.plan.burst() / customer.spread);
         customer.quotaLevel =
                 Math.max(-customer.plan.burst(), Math.min(customer.plan.burst(), customer.quotaLevel - units));
@@ -607,8 +607,8 @@
         customer.usedUnits += units;
         if (usesCounter(customer) && !hasWideSet(customer)) addUnreported(customer, units);
         customer.usageHistory.add(now, units);
-        customer.unsentUnits += ceilingUnits;
-        customer.capTokens -= ceilingUnits;
+        customer.unsentUnits += capUnits;
+        customer.capTokens -= capUnits;
     }
 
     /**
@@ -785,8 +785,8 @@
         if (customer.expiredUnitsInCall > 0 && newLevel < customer.plan.burst() - customer.expiredUnitsInCall / 2)
             customer.unreportedUnits -= customer.expiredUnitsInCall;
         customer.expiredUnitsInCall = 0;
-        double lapsed = newLevel - customer.plan.burst();
-        customer.expiredUnits = lapsed > MIN_LAPSED_BURSTS * customer.plan.burst() ? lapsed : 0;
+        double expired = newLevel - customer.plan.burst();
+        customer.expiredUnits = expired > MIN_EXPIRED_BURSTS * customer.plan.burst() ? expired : 0;
         customer.applyCounterTotal(now, total, newLevel);
     }
 
@@ -900,10 +900,10 @@
         int maxEntries = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
         peer.sentSerial++;
         for (LinkedHashSet<CustomerState> due : List.of(peer.dueAnswers, peer.dueReports)) {
-            for (Iterator<CustomerState> it = due.iterator();
-                    it.hasNext() && entries.size() < maxEntries;
-                    it.remove()) {
-                CustomerState customer = it.next();
+            for (Iterator<CustomerState> iterator = due.iterator();
+                    iterator.hasNext() && entries.size() < maxEntries;
+                    iterator.remove()) {
+                CustomerState customer = iterator.next();
                 refill(now, customer);
                 entries.add(
                         due == peer.dueAnswers ? answerEntry(now, customer, peer) : reportEntry(now, customer, peer));
@@ -965,11 +965,12 @@
     }
 
     @Override
-    public void peerMessageReceived(double now, int from, byte[] data) {
-        PeerMessage message =
-                from < 0 || from >= peers.length || from == settings.gatewayNumber() ? null : PeerMessage.decode(data);
+    public void peerMessageReceived(double now, int sender, byte[] data) {
+        PeerMessage message = sender < 0 || sender >= peers.length || sender == settings.gatewayNumber()
+                ? null
+                : PeerMessage.decode(data);
         if (message == null) return; // unknown sender, or damaged
-        PeerState peer = peers[from];
+        PeerState peer = peers[sender];
         boolean sameEpoch = peer.heardFrom && message.epoch() == peer.epoch;
         // Overtaken on the way, told twice, or from before the sender's restart.
         // Lives are compared by difference: their field runs over every 50 days of Unix time.
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -241,7 +241,7 @@
 
         default void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
-        void peerMessageReceived(double now, int peer, byte[] data);
+        void peerMessageReceived(double now, int sender, byte[] data);
 
         void counterCallEnded(double now, String counter, Outcome outcome, double total);
 
