--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -35,100 +35,298 @@
 import java.util.stream.IntStream;
 
 /**
- * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
- * Its interface (events, actions, settings) is Gateway.java, beside this file.
+ * Makes every decision of one gateway; its interface (events, actions, settings) is in Gateway.java.
+ *
+ * <p>It decides on the admission of requests, the order in which queued requests are released, the weights of request
+ * classes, the choice and the health of hosts, retries and the messages to peer gateways. It does no input or output
+ * and reads no clock: it is called with events, each with its time, and answers with actions. Equal events lead to
+ * equal actions. It isn't thread-safe.
+ *
+ * <p>Comments refer to these rules by number:
+ *
+ * <ol>
+ *   <li>Each request gets exactly one answer, before its deadline.
+ *   <li>A request that may have run is repeated only where a repeat does no harm.
+ *   <li>A host that drains or has gone gets no new requests.
+ *   <li>A cold host gets no more than its allowance from all gateways together.
+ *   <li>The cap of a customer's plan is never exceeded by all gateways together, even across restarts.
+ * </ol>
  */
 public final class DecisionModule implements Gateway.Events {
-    // Housekeeping
-    private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
-    private static final double SWEEP_INTERVAL_MS = 5000; // how often customers and hosts long gone are forgotten
-    private static final double IDLE_EXPIRY_MS = 60_000; // a store idle this long is full again
-    // Admission by parts
-    private static final double DEMAND_AVERAGING_MS = 2000; // averaging of demand: longer than gaps between requests
-    private static final double EVEN_SHARE_PRIOR = 0.05; // of the rate, added to a set's demand: all have a part
-    private static final double SHARE_RAISE_STEP = 0.1; // of all, by each new figure that leaves room for unmet demand
-    private static final double FRESH_LEVEL_MS = 1000; // a keeper's word this old no longer lets in without asking
-    private static final double STALE_LEVEL_MS = 3000; // and from here on the part is the even one
-    private static final double REPORT_LAG_MS = 60; // a told figure's age on arrival: half a gap and the way
-    private static final double METER_LAG_MS = 860; // mean age of a period's figure when it is first told
-    private static final double ASSUMED_USE_SHARE = 0.5; // of the rate, by a customer that the meter has not told of
-    private static final double OTHERS_FREE_SHARE = 0.5; // of what the others hold, that may be free
-    private static final double UNSEEN_USE_SHARE = 0.6; // of the rate: what others may use unseen beside their demand
-    // Admission in a set so wide that no part holds a request
-    private static final double MIN_EXPIRED_BURSTS = 1; // bursts beyond the store from which a count is put right
-    private static final double EVIDENCE_BURSTS = 2; // bursts' times for which an answer tells of more
-    private static final double MAX_EXCESS_COST_SHARE = 0.03; // of the worth let in, that excess is expected to cost
-    private static final double MARGIN_STEP = 1.05; // growth with a request let in above that bound
-    private static final double MARGIN_START = 4; // what a guess has to pay, in times of its expected cost
+    // ---- constants: timers
+
+    /** Token of the periodic timer. */
+    private static final String TICK_TIMER = "beat";
+
+    /** Token of the timer that repeats a failed subscription to the host list. */
+    private static final String SUBSCRIBE_TIMER = "watch";
+
+    /** Period of the tick, on which queued requests expire and messages to peers leave. */
+    private static final double TICK_MS = 20;
+
+    /** Period of the removal of idle customers and of hosts that left the list. */
+    private static final double SWEEP_INTERVAL_MS = 5000;
+
+    /** A customer idle for this long is forgotten: its token bucket is full again. */
+    private static final double IDLE_EXPIRY_MS = 60_000;
+
+    // ---- constants: admission by a gateway's own share of a quota
+
+    /** Time constant of the demand average; it has to exceed the gaps between requests. */
+    private static final double DEMAND_AVERAGING_MS = 2000;
+
+    /**
+     * Share of the quota's rate that is added to the demand of the set, split evenly, so that no gateway's share is 0.
+     */
+    private static final double EVEN_SHARE_PRIOR = 0.05;
+
+    /** Share of the whole quota by which each new meter reading that leaves room raises a share with unmet demand. */
+    private static final double SHARE_RAISE_STEP = 0.1;
+
+    /** An owner's report older than this no longer allows admission without asking the owner. */
+    private static final double FRESH_LEVEL_MS = 1000;
+
+    /** Once an owner's report is older than this, the even share applies. */
+    private static final double STALE_LEVEL_MS = 3000;
+
+    /** Age of a reported level on arrival: half the gap between messages plus the network latency. */
+    private static final double REPORT_LAG_MS = 60;
+
+    /** Mean age of a metered period's reading when it first arrives. */
+    private static final double METER_LAG_MS = 860;
+
+    /** Share of the quota's rate that a customer is assumed to use before its first meter reading. */
+    private static final double ASSUMED_USE_SHARE = 0.5;
+
+    /** Share of the other gateways' part of the burst that is assumed to be unused. */
+    private static final double OTHERS_FREE_SHARE = 0.5;
+
+    /** Share of the quota's rate that the other gateways may use unseen, in addition to their reported demand. */
+    private static final double UNSEEN_USE_SHARE = 0.6;
+
+    // ---- constants: admission in a set so wide that no gateway's share holds a whole request
+
+    /** Expired quota, in bursts, from which the counter's total is corrected. */
+    private static final double MIN_EXPIRED_BURSTS = 1;
+
+    /** Chance of room from which a called-for request's own units are added before it is admitted. */
+    private static final double LIKELY_ROOM_CHANCE = 0.5;
+
+    /** Lifetime of an answer as evidence, in multiples of the time in which the quota refills one burst. */
+    private static final double EVIDENCE_BURSTS = 2;
+
+    /** Upper limit of the expected cost of excess, as a share of the admitted worth. */
+    private static final double MAX_EXCESS_COST_SHARE = 0.03;
+
+    /** Growth of the admission margin by each request admitted while that limit is exceeded. */
+    private static final double MARGIN_STEP = 1.05;
+
+    /** Initial margin: an admission without a counter call has to earn this many times its expected cost. */
+    private static final double MARGIN_START = 4;
+
     private static final double MARGIN_MAX = 5;
-    private static final double OWN_USE_REQUESTS = 1.5; // units in a metered period that may be one gateway's own
-    private static final double CORRECTION_WORTH_SHARE = 0.3; // of a unit's worth, saved by the call that puts it right
-    private static final double MEAN_WORTH_GAIN = 0.02; // weight of one request in the mean worth
-    // Keepers and tells
-    private static final double MIN_RETRY_AFTER_MS = TICK_MS; // shortest wait that a refusal tells
-    private static final int OWNER_COUNT = 2; // gateways of a set that keep its books: one may be down
-    private static final double OWNER_ANSWER_TIMEOUT_MS = 150; // a due answer is missing after so long
-    private static final double UNRESPONSIVE_MS = 1000; // a peer that missed an answer is not asked so long
-    private static final double PEER_MESSAGE_RATE_SHARE =
-            0.8; // share of the intake that is used: bursts fit in the rest
-    private static final double PEER_MESSAGE_BURST_MS = 150; // time's worth of mail that may leave at once
-    private static final double MAX_PEER_MESSAGE_GAP_MS = 50; // longest of the shortest gaps between messages to a peer
-    private static final double OWNER_SYNC_INTERVAL_MS = 300; // how often a keeper tells the other keeper of a customer
-    private static final int MAX_PEER_MESSAGE_BYTES = 256; // largest message
-    private static final double PRIMARY_OWNER_CAP_SHARE =
-            0.5; // of a ceiling, held by the first keeper; the rest evenly
-    private static final double COUNTER_REPORT_INTERVAL_MS =
-            500; // how often a customer's use is added to the counter, unasked
-    private static final double COUNTER_LIFETIME_MS = 60_000; // of a name
-    private static final double COUNTER_CALL_ALLOWANCE_MS = 150; // time that a request must have left for an answer
-    // Release
-    private static final double BURST_HEADROOM = 0.7; // places beyond the even ones, in roots of them: for bursts
-    private static final double START_CONCURRENCY_PER_HOST = 6; // attempts out a host at first, by all gateways
-    private static final double MIN_CONCURRENCY_PER_HOST = 3; // never fewer by all gateways, or cores would idle
-    private static final double MAX_CONCURRENCY_PER_HOST = 128; // by all gateways: beyond this no host gains
-    private static final double CONCURRENCY_INCREASE = 1.15; // growth a beat while requests wait on fast hosts
-    private static final double CONCURRENCY_DECREASE = 0.85; // cut a beat while latency is stretched
-    private static final double CONCURRENCY_INTERVAL_MS = 250; // how often the bound moves
-    private static final int CONCURRENCY_MIN_ANSWERS = 8; // answers to move it by, or so many beats
-    private static final double BASELINE_DRIFT = 1.002; // growth a beat, so that a lasting change is accepted
-    private static final int BASELINE_MIN_SAMPLES = 20; // answers before the base is held
-    private static final double QUEUEING_LATENCY_RATIO =
-            1.7; // latency over its base that counts as queueing at the hosts
-    private static final double HARMLESS_GOAL_SHARE = 0.1; // below this share of the aim latency does no harm
-    private static final double MIN_LATE_VALUE = 0.5; // late worth from which a late answer merits a place
-    private static final double REQUIRED_EXPECTED_TIMES = 3; // expected times a held request must still have
-    private static final double MIN_HOLD_GOAL_SHARE = 0.1; // share of the aim for which any request may be held
-    private static final double QUEUEING_GOAL_SHARE = 0.5; // mean share of the aim that is queueing for sure
-    private static final double RELEASE_GAP_GAIN = 0.1; // weight of one release in the mean gap of releases
-    private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2; // of the aim: the largest request, before any answer
-    private static final int MAX_SCANNED = 16; // held requests passed over for want of a legal host, a turn
-    // Weights: the paper's alpha, beta, epsilon
-    private static final double ALPHA = 0.7; // weight of the old delay average
-    private static final double BETA = 0.5; // share of a computed donation that is committed
-    private static final double EPSILON = 0.1; // half-width of the band in which a class is content
-    private static final double DELAY_GOAL_SHARE = 0.6; // share of the aim that a class's mean delay may take
-    private static final double DELAY_INTERVAL_MS = 500; // delay averaging beat
-    private static final double MIN_DONATION_INTERVAL_MS = 1000; // first interval between donations; doubles after one
-    private static final double MAX_DONATION_INTERVAL_MS = 8000; // longest such interval
-    private static final double INITIAL_WEIGHT_STEP = 0.05; // first step, before a slope is known, of all weight
-    private static final double MIN_WEIGHT = 0.02; // least weight, as share of all
-    // Hosts
-    private static final double LATENCY_GAIN = 0.12; // weight of one answer in a host's slowness
-    private static final double FAILURE_GAIN = 0.4; // weight of a failure or of an overdue attempt
-    private static final double FULL_HOST_SLOWNESS = 4; // slowness of a full host, and of one tried before
-    private static final double UNHEALTHY_SLOWNESS = 2.2; // slowness from which a host is worse than chance makes it
-    private static final double OVERDUE_EXPECTED_TIMES = 5; // expected times, and
-    private static final double OVERDUE_MIN_MS = 400; // so much, after which it is overdue
-    private static final double CROSS_ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final double COLD_ALLOWANCE_SHARE = 0.7; // of a cold host's allowance: bursts fit in the rest
-    private static final int MIN_SUBSET_SIZE = 8; // hosts a gateway keeps to, while they serve; more
-    private static final int MIN_GATEWAYS_PER_HOST = 6; // where a host would have fewer gateways than this
-    private static final int MIN_CANDIDATES = 2; // hosts compared at least; more where own counts can tell them apart
-    private static final double HOST_REFRESH_INTERVAL_MS = 500; // how often the hosts are counted
-    private static final double RETRY_BUDGET_SHARE = 0.2; // further attempts earned by each first one
-    private static final double MAX_RETRY_TOKENS = 20; // most further attempts saved up
-    private static final double KEY_WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
-    private static final double DEADLINE_MARGIN_MS = 40; // refuse or fail this long before a deadline: two beats
+
+    /** Largest use in a metered period that may be one gateway's own, in requests of the largest size. */
+    private static final double OWN_USE_REQUESTS = 1.5;
+
+    /** Share of a unit's worth that a counter call saves by correcting the total by that unit. */
+    private static final double CORRECTION_WORTH_SHARE = 0.3;
+
+    /** Weight of one request in the mean worth. */
+    private static final double MEAN_WORTH_GAIN = 0.02;
+
+    // ---- constants: owners of customers and messages between gateways
+
+    /** Shortest retry delay that a refusal advises. */
+    private static final double MIN_RETRY_AFTER_MS = TICK_MS;
+
+    /** Gateways of a customer's set that keep its account; with two, one may be down. */
+    private static final int OWNER_COUNT = 2;
+
+    /** An owner's answer that takes longer than this counts as missing. */
+    private static final double OWNER_ANSWER_TIMEOUT_MS = 150;
+
+    /** A peer that missed an answer gets no further queries for this long. */
+    private static final double UNRESPONSIVE_MS = 1000;
+
+    /** Share of the peers' message rate limit that is used; the rest absorbs bursts. */
+    private static final double PEER_MESSAGE_RATE_SHARE = 0.8;
+
+    /** Messages that may leave at once, as the time in which the rate limit allows that many. */
+    private static final double PEER_MESSAGE_BURST_MS = 150;
+
+    /** Upper limit of the minimum gap between two messages to one peer. */
+    private static final double MAX_PEER_MESSAGE_GAP_MS = 50;
+
+    /** Interval at which the deciding owner of a customer reports to the customer's other owner. */
+    private static final double OWNER_SYNC_INTERVAL_MS = 300;
+
+    /** Largest message to a peer. */
+    private static final int MAX_PEER_MESSAGE_BYTES = 256;
+
+    /** Share of a cap that belongs to the primary owner; the rest is split evenly over the set. */
+    private static final double PRIMARY_OWNER_CAP_SHARE = 0.5;
+
+    /** Interval at which a customer's use is added to the counter when no request needs a call. */
+    private static final double COUNTER_REPORT_INTERVAL_MS = 500;
+
+    /** Lifetime of a counter name. */
+    private static final double COUNTER_LIFETIME_MS = 60_000;
+
+    /** Time that a request must have left before its deadline to wait for the counter's answer. */
+    private static final double COUNTER_CALL_ALLOWANCE_MS = 150;
+
+    // ---- constants: release of queued requests
+
+    /** Extra concurrency for bursts, in square roots of the even share of the fleet's concurrency. */
+    private static final double BURST_HEADROOM = 0.7;
+
+    /** Initial concurrency limit of a host, over all gateways. */
+    private static final double START_CONCURRENCY_PER_HOST = 6;
+
+    /** Smallest concurrency limit of a host, over all gateways; with fewer its cores would idle. */
+    private static final double MIN_CONCURRENCY_PER_HOST = 3;
+
+    /** Largest concurrency limit of a host, over all gateways; beyond it no host gains throughput. */
+    private static final double MAX_CONCURRENCY_PER_HOST = 128;
+
+    /** Growth of the limit at each adjustment, while requests wait and hosts answer fast. */
+    private static final double CONCURRENCY_INCREASE = 1.15;
+
+    /** Cut of the limit at each adjustment, while latency shows queueing at the hosts. */
+    private static final double CONCURRENCY_DECREASE = 0.85;
+
+    /** Interval between two adjustments of the limit. */
+    private static final double CONCURRENCY_INTERVAL_MS = 250;
+
+    /** Answers needed for an adjustment; with fewer, it waits for this many intervals. */
+    private static final int CONCURRENCY_MIN_ANSWERS = 8;
+
+    /** Growth of the latency baseline at each adjustment, so that a lasting change becomes the new baseline. */
+    private static final double BASELINE_DRIFT = 1.002;
+
+    /** Smallest weight of one answer in the mean latency of a class. */
+    private static final double MIN_LATENCY_MEAN_GAIN = 0.03;
+
+    /** Units that a request counts as at least, when latency is related to units. */
+    private static final double MIN_LATENCY_UNITS = 0.1;
+
+    /** Answers after which the latency baseline no longer follows the average upwards. */
+    private static final int BASELINE_MIN_SAMPLES = 20;
+
+    /** Ratio of latency to its baseline above which hosts are taken to queue. */
+    private static final double QUEUEING_LATENCY_RATIO = 1.7;
+
+    /** Mean latency, as a share of the goal, below which it does no harm. */
+    private static final double HARMLESS_GOAL_SHARE = 0.1;
+
+    /** Late value of a class from which a request is worth sending after its latency goal. */
+    private static final double MIN_LATE_VALUE = 0.5;
+
+    /** Time that a queued request must still have, in multiples of its expected time. */
+    private static final double REQUIRED_EXPECTED_TIMES = 3;
+
+    /** Share of the latency goal for which any request may be queued. */
+    private static final double MIN_HOLD_GOAL_SHARE = 0.1;
+
+    /** Mean latency, as a share of the goal, that is always taken as queueing. */
+    private static final double QUEUEING_GOAL_SHARE = 0.5;
+
+    /** Weight of one release in the mean gap between releases. */
+    private static final double RELEASE_GAP_GAIN = 0.1;
+
+    /** Expected time of the largest request before the first answer, as a share of the latency goal. */
+    private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
+
+    /** Queued requests of a class examined in one turn when the ones ahead have no permitted host. */
+    private static final int MAX_SCANNED = 16;
+
+    // ---- constants: class weights
+
+    // The weights move between classes by partial donation: a class that misses its delay goal takes weight from
+    // classes
+    // that have a surplus. ALPHA, BETA and EPSILON are the names of that algorithm's parameters.
+
+    /** Weight of the previous average when the mean delay is updated. */
+    private static final double ALPHA = 0.7;
+
+    /** Share of a computed donation that is applied. */
+    private static final double BETA = 0.5;
+
+    /** Half-width of the band around the delay goal, relative to the goal, in which a class neither takes nor gives. */
+    private static final double EPSILON = 0.1;
+
+    /** Mean delay that a class may have, as a share of its latency goal. */
+    private static final double DELAY_GOAL_SHARE = 0.6;
+
+    /** Interval over which delays are averaged. */
+    private static final double DELAY_INTERVAL_MS = 500;
+
+    /** Interval between donations; it doubles after each donation. */
+    private static final double MIN_DONATION_INTERVAL_MS = 1000;
+
+    private static final double MAX_DONATION_INTERVAL_MS = 8000;
+
+    /** Donation before the slope of a class is known, as a share of the total weight. */
+    private static final double INITIAL_WEIGHT_STEP = 0.05;
+
+    /** Smallest weight of a class, as a share of the total weight. */
+    private static final double MIN_WEIGHT = 0.02;
+
+    // ---- constants: hosts
+
+    /** Weight of one answer's latency in a host's slowness. */
+    private static final double LATENCY_GAIN = 0.12;
+
+    /** Weight of a failure, or of an overdue attempt, in the slowness of a host. */
+    private static final double FAILURE_GAIN = 0.4;
+
+    /** Slowness recorded for a host that is full, and applied to a host that the request has already tried. */
+    private static final double FULL_HOST_SLOWNESS = 4;
+
+    /** Slowness above the range of random variation; a host that reaches it is taken to be unhealthy. */
+    private static final double UNHEALTHY_SLOWNESS = 2.2;
+
+    /** An attempt is overdue after this many times its expected time plus {@link #OVERDUE_MIN_MS}. */
+    private static final double OVERDUE_EXPECTED_TIMES = 5;
+
+    private static final double OVERDUE_MIN_MS = 400;
+
+    /** Cost of crossing zones, as a share of the score of an idle host. */
+    private static final double CROSS_ZONE_COST = 0.05;
+
+    /** Share of a cold host's allowance that is used; the rest absorbs bursts. */
+    private static final double COLD_ALLOWANCE_SHARE = 0.7;
+
+    /** Smallest subset of hosts that a gateway uses as long as they serve. */
+    private static final int MIN_SUBSET_SIZE = 8;
+
+    /** The subset is larger where otherwise fewer gateways than this would use a host. */
+    private static final int MIN_GATEWAYS_PER_HOST = 6;
+
+    /** Smallest number of hosts to compare; more are compared where this gateway's own counts can tell them apart. */
+    private static final int MIN_CANDIDATES = 2;
+
+    /** Further hosts to compare for each attempt in flight. */
+    private static final int CANDIDATES_PER_ATTEMPT = 2;
+
+    /** Random part of a score that decides between hosts of equal score. */
+    private static final double TIE_BREAK_NOISE = 1e-3;
+
+    /** Interval at which the eligible hosts are listed anew. */
+    private static final double HOST_REFRESH_INTERVAL_MS = 500;
+
+    /** Retries that each first attempt earns. */
+    private static final double RETRY_BUDGET_SHARE = 0.2;
+
+    /** Largest number of retries that can be saved up. */
+    private static final double MAX_RETRY_TOKENS = 20;
+
+    /** Share of a key's window in which a retry may leave; the rest covers the way to the host. */
+    private static final double KEY_WINDOW_SHARE = 0.9;
+
+    /** A request is refused or failed this long before its deadline: two ticks. */
+    private static final double DEADLINE_MARGIN_MS = 40;
 
     private final Actions actions;
     private final Map<String, ClassState> classes = new LinkedHashMap<>();
@@ -136,37 +334,75 @@
     private final Map<Long, CustomerState> customers = new LinkedHashMap<>();
     private final Map<String, TrackedHost> hosts = new LinkedHashMap<>();
     private final Map<String, RequestState> requests = new LinkedHashMap<>();
+
+    /** Peers to which a message is due, in the order in which they were added. */
     private final ArrayDeque<PeerState> outbox = new ArrayDeque<>();
+
+    /** Requests that wait for an owner's answer. */
     private final LinkedHashSet<RequestState> ownerQueries = new LinkedHashSet<>();
+
     private final LinkedHashSet<CustomerState> unreportedCustomers = new LinkedHashSet<>();
+
+    /** Hosts with attempts in flight. */
     private final LinkedHashSet<TrackedHost> busyHosts = new LinkedHashSet<>();
+
     private final List<TrackedHost> eligibleHosts = new ArrayList<>();
+
+    /** The eligible hosts that this gateway prefers. */
     private final List<TrackedHost> subset = new ArrayList<>();
+
     private PeerState[] peers = new PeerState[0];
     private Settings settings;
     private Random random;
+
+    /** Identifies the time between two restarts of this gateway. */
     private int epoch;
-    private double startedAt,
-            concurrencyAdjustedAt,
-            sweptAt,
-            delayIntervalEndedAt,
-            donatedAt,
-            messageTokensAt,
-            hostsRefreshedAt;
+
+    private double startedAt;
+    private double concurrencyAdjustedAt;
+    private double sweptAt;
+    private double delayIntervalEndedAt;
+    private double donatedAt;
+    private double messageTokensAt;
+    private double hostsRefreshedAt;
     private CallBudget callBudget;
+
+    /** One for each plan, by its number. */
     private AdmissionEstimate[] admissionEstimates;
+
     private final ExcessEstimate excessEstimate = new ExcessEstimate();
     private double admissionMargin = MARGIN_START;
     private double counterAnsweredAt = DecisionState.NEVER;
     private double meanWorth;
-    private double messageTokens, donationIntervalMs = MIN_DONATION_INTERVAL_MS;
+
+    /** Messages that may leave now, as a token bucket. */
+    private double messageTokens;
+
+    private double donationIntervalMs = MIN_DONATION_INTERVAL_MS;
+
+    /** Whether requests have waited at the concurrency limit since the last donation. */
     private boolean requestsWaited;
-    private int attemptsInFlight, answerCount, processCount = 1;
+
+    private int attemptsInFlight;
+
+    /** Answers since the last adjustment of the concurrency limit; the three sums below cover the same answers. */
+    private int answerCount;
+
+    private double latencySum;
+    private double baselineSum;
+    private double goalShareSum;
+    private int processCount = 1;
     private double concurrencyPerHost = START_CONCURRENCY_PER_HOST;
-    private double warmCapacity, virtualTime;
+
+    /** Capacity of the eligible hosts, in warm hosts. */
+    private double warmCapacity;
+
+    /** The virtual time of fair queueing: that of the class that released last. */
+    private double virtualTime;
+
     private double retryTokens = MAX_RETRY_TOKENS / 2;
-    private double latencySum, baselineSum, goalShareSum;
 
+    /** Creates a module that acts through {@code actions}; its first event has to be {@link #start}. */
     public DecisionModule(Actions actions) {
         this.actions = actions;
     }
@@ -199,12 +435,12 @@
         Arrays.setAll(admissionEstimates, i -> new AdmissionEstimate());
         concurrencyAdjustedAt = sweptAt = delayIntervalEndedAt = donatedAt = messageTokensAt = hostsRefreshedAt = now;
         if (initialSettings.subscribesToHosts()) actions.subscribeHosts();
-        actions.startTimer(TICK_MS, "beat");
+        actions.startTimer(TICK_MS, TICK_TIMER);
     }
 
     @Override
     public void hostsUpdated(double now, HostListKind kind, List<Host> updates) {
-        if (kind == HostListKind.FAILED) actions.startTimer(STALE_LEVEL_MS, "watch");
+        if (kind == HostListKind.FAILED) actions.startTimer(STALE_LEVEL_MS, SUBSCRIBE_TIMER);
         if (kind == HostListKind.FAILED) return;
         if (kind != HostListKind.CHANGES) hosts.values().forEach(host -> host.listed = false);
         updates.forEach(update -> hosts.computeIfAbsent(update.id(), id -> new TrackedHost(update))
@@ -216,7 +452,7 @@
     @Override
     public void requestReceived(double now, Request details) {
         ClassState classState = classes.get(details.requestClass());
-        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN); // its class can't be judged
+        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN); // nothing is known of its class
         if (classState == null) return;
         Integer planNumber = planNumbers.get(details.plan());
         CustomerState customer = planNumber == null
@@ -234,6 +470,7 @@
         flushOutbox(now);
     }
 
+    /** Admits a request: charges its units and releases it or puts it into its class's queue. */
     private void admit(double now, RequestState request) {
         ClassState classState = request.classState;
         request.admitted = true;
@@ -243,7 +480,7 @@
         if (classState.queue.isEmpty()) classState.virtualTime = Math.max(classState.virtualTime, virtualTime);
         classState.queue.addLast(request);
         releaseQueued(now);
-        // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
+        // A request that would wait past its hold deadline is refused at once instead of being queued (rule 1).
         boolean queued = !request.closed && request.attempts.isEmpty();
         if (queued && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
             finishUnserved(now, request);
@@ -289,9 +526,9 @@
 
     @Override
     public void timerFired(double now, String token) {
-        if (token.equals("watch")) actions.subscribeHosts();
-        if (!token.equals("beat")) return;
-        actions.startTimer(TICK_MS, "beat");
+        if (token.equals(SUBSCRIBE_TIMER)) actions.subscribeHosts();
+        if (!token.equals(TICK_TIMER)) return;
+        actions.startTimer(TICK_MS, TICK_TIMER);
         expireQueued(now);
         expireOwnerQueries(now);
         reportUsage(now);
@@ -304,8 +541,9 @@
         flushOutbox(now);
     }
 
-    // ---- admission by parts
+    // ---- admission by a gateway's own share
 
+    /** The decision on a request, or whom to ask for it. */
     private enum AdmissionVerdict {
         ADMIT,
         REFUSE,
@@ -313,6 +551,7 @@
         ASK_COUNTER
     }
 
+    /** Returns the refilled state of a customer; it is created on first use or if the plan has changed. */
     private CustomerState customerState(double now, long id, int planNumber, int first, int spread) {
         CustomerState customer = customers.get(id);
         if (customer == null || customer.planNumber != planNumber) {
@@ -322,12 +561,13 @@
             customer = new CustomerState(id, planNumber, plan, first, boundedSpread, owners, now);
             customer.quotaLevel = plan.burst();
             customer.spareUnits = maxSpareUnits(customer, 1.0 / boundedSpread);
-            // Less than one request is no use, but a free one in each gateway of a wide set is many bursts.
+            // A bucket that is smaller than one request is of no use, but one free request at each gateway of a wide
+            // set would add up to many bursts.
             customer.ownTokens = hasWideSet(customer)
                     ? plan.burst() / customer.spread
                     : Math.max(plan.burst() / customer.spread, minBucketSize(plan));
-            // The ceiling's store starts with what has filled since this gateway started, never with a burst:
-            // before a restart this gateway may have spent it (rule 5).
+            // The cap's bucket starts with what has been refilled since this gateway started, never with a burst, which
+            // this gateway may have spent before a restart (rule 5).
             double filled = (now - startedAt) / 1000 * plan.capRate() * capShare(customer);
             customer.capTokens = Math.min(maxCapTokens(customer), filled);
             customers.put(id, customer);
@@ -336,7 +576,7 @@
         return customer;
     }
 
-    /** This gateway's own share of a ceiling: all sum to one, and each is spent by its holder alone. */
+    /** This gateway's share of a customer's cap. The shares of a set sum to 1, and only their holders spend them. */
     private double capShare(CustomerState customer) {
         if (customer.spread == 1) return 1;
         return (customer.owners[0] == settings.gatewayNumber() ? PRIMARY_OWNER_CAP_SHARE : 0)
@@ -347,6 +587,7 @@
         return customer.plan.capBurst() * capShare(customer);
     }
 
+    /** Refills a customer's token buckets for the time since the last refill, and decays the demand averages. */
     private void refill(double now, CustomerState customer) {
         double elapsedSeconds = (now - customer.refilledAt) / 1000;
         if (elapsedSeconds <= 0) return;
@@ -365,31 +606,33 @@
         customer.ownTokens = Math.min(
                 Math.max(share * plan.burst(), minBucketSize(plan)),
                 customer.ownTokens + share * plan.rate() * elapsedSeconds);
-        // Units let in but not sent yet are still in the true store, and it may not overfill (rule 5).
+        // Units that are admitted but not sent yet haven't left the cap's true bucket, which may not overfill (rule 5).
         customer.capTokens = Math.min(
                 maxCapTokens(customer) - customer.unsentUnits,
                 customer.capTokens + plan.capRate() * capShare(customer) * elapsedSeconds);
     }
 
-    /** Of the others' parts of a burst only a share is taken to be free: all of a set think alike. */
+    /** Counts only a share of the others' part of the burst as free, since all gateways of the set do the same. */
     private double maxSpareUnits(CustomerState customer, double share) {
         return customer.plan.burst() * (share + (1.0 / processCount - share) * OTHERS_FREE_SHARE);
     }
 
+    /** A bucket has to hold at least one request of the largest size. */
     private double minBucketSize(Plan plan) {
         return Math.min(plan.burst(), settings.coordination().maxUnitsPerRequest());
     }
 
-    /** What the others of the set use a second, by the meter; before its first figure as much as is usual. */
+    /** Units a second used by the other gateways of the set, by the meter; an assumed use before its first reading. */
     private double othersRate(CustomerState customer) {
         if (customer.meterSeconds <= 0) return ASSUMED_USE_SHARE * customer.plan.rate() * (1 - 1.0 / customer.spread);
         return Math.max(0, customer.meterTotal - customer.meterOwn) / customer.meterSeconds;
     }
 
     /**
-     * Whether the whole store has room beside what others may have used unseen: most customers use a part
-     * of their quota, and what one gateway's bucket lacks then lies in the others'. Without a meter that is a
-     * guess which all of a set make alike: it is left to the plans whose excess costs little.
+     * Returns whether the whole quota has room for the units after what the other gateways may have used unseen. Most
+     * customers use only a part of their quota, so the units that one gateway's bucket lacks are in the others'.
+     * Without a meter this is an estimate that all gateways of the set make in the same way, so it is used only for
+     * plans whose excess costs little.
      */
     private boolean hasSpareUnits(CustomerState customer, double units) {
         double unseenUnits = othersRate(customer) * METER_LAG_MS / 1000;
@@ -400,12 +643,12 @@
                 && customer.spareUnits - unseenUnits >= units;
     }
 
-    /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
+    /** This process's share of a customer's demand; the shares that follow from one owner's report sum to 1. */
     private double processShare(double now, CustomerState customer) {
         return gatewayShare(now, customer) / processCount;
     }
 
-    /** The part of all processes of this gateway. */
+    /** The share of all processes of this gateway together. */
     private double gatewayShare(double now, CustomerState customer) {
         if (customer.spread == 1) return 1;
         if (!settings.limits().peerMessages())
@@ -416,7 +659,7 @@
         return (customer.demand + prior / customer.spread) / (customer.demand + customer.othersDemand + prior);
     }
 
-    /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
+    /** The gateway that decides on a customer, searched from owner {@code ownerIndex} on; -1 if none is available. */
     private int decidingOwner(double now, CustomerState customer, int ownerIndex) {
         for (int i = ownerIndex; i < customer.owners.length; i++) {
             int owner = customer.owners[i];
@@ -428,11 +671,15 @@
         return customer.owners[0] == settings.gatewayNumber() ? settings.gatewayNumber() : -1;
     }
 
-    /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
+    /**
+     * Returns whether this gateway, as an owner, doesn't know the use before its start. That ends with a peer's
+     * message, or once the time since the start has refilled a whole burst, so that the earlier use no longer matters.
+     */
     private boolean isUninformed(double now, CustomerState customer) {
         return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
     }
 
+    /** Decides whether to admit a request, and if that isn't known here, whom to ask. */
     private AdmissionVerdict decideAdmission(double now, RequestState request) {
         CustomerState customer = request.customer;
         double units = request.details.units();
@@ -458,7 +705,7 @@
                 || (asksOwner || usesCounter(customer))
                         && now - customer.sharedLevelAt < FRESH_LEVEL_MS
                         && customer.quotaLevel - unseenUseReserve(now, customer) >= units;
-        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: own units need no peer
+        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: the own share needs no peer
         if (hasRoom && hasCapRoom) return AdmissionVerdict.ADMIT;
         request.requestedUnits = units;
         if (usesCounter(customer) && hasCapRoom && drawsCounterCall(now, request, roomChance(request)))
@@ -466,20 +713,21 @@
         return asksOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
     }
 
-    /** Whether so many gateways share a customer that an even part of the burst holds no request. */
+    /** Returns whether so many gateways share a customer that an even share of the burst holds no whole request. */
     private boolean hasTooSmallShares(CustomerState customer) {
         return !settings.limits().peerMessages()
                 && customer.plan.burst() / customer.spread
                         < settings.coordination().maxUnitsPerRequest();
     }
 
-    /** There a part says nothing of the whole: the counter has to tell, as far as it can. */
+    /** Returns whether a share shows nothing of the whole quota, so that the counter is asked as far as possible. */
     private boolean hasWideSet(CustomerState customer) {
         return hasTooSmallShares(customer)
                 && customer.plan.capRate() <= 0
                 && (settings.coordination().hasCounter() || hasCostlyExcess(customer.plan));
     }
 
+    /** Returns whether excess in this plan costs at least the mean over all plans. */
     private boolean hasCostlyExcess(Plan plan) {
         double mean = settings.plans().stream()
                 .mapToDouble(Plan::weightedExcessLoss)
@@ -489,8 +737,9 @@
     }
 
     /**
-     * A call is drawn by what it would save against the guess. What that lets in unasked is counted by those
-     * drawn: each adds the units of the others that its draw stands for; the total is true in the mean.
+     * Decides on a request of a wide set. A counter call is made at random, with a probability in proportion to what it
+     * would save over an estimate. Requests admitted without a call are counted by sampling: each call adds the units
+     * of the requests without a call that it represents, so the counter's total is unbiased.
      */
     private AdmissionVerdict decideWideSet(double now, RequestState request) {
         CustomerState customer = request.customer;
@@ -501,27 +750,29 @@
                     : AdmissionVerdict.REFUSE;
         boolean admits = isAdmissionWorthwhile(now, request);
         boolean foundEmpty = customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)) == CounterVerdict.EMPTY;
-        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // asked a moment ago
+        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // the counter refused a moment ago
         boolean callsCounter =
                 drawsCounterCall(now, request, admits ? expectedExcessCost(now, request) : roomChance(request));
         if (!callsCounter && admits) adjustAdmissionMargin(request, roomChance(request));
         if (!callsCounter) return admits ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
-        request.requestedUnits = roomChance(request) >= 0.5 ? units : 0; // otherwise it is added once it is let in
+        request.requestedUnits =
+                roomChance(request) >= LIKELY_ROOM_CHANCE ? units : 0; // added once the request is admitted
         request.sampledUnits = admits ? units * (1 / (request.callProbability * callBudget.allowedShare()) - 1) : 0;
         return AdmissionVerdict.ASK_COUNTER;
     }
 
-    /** Whether a call is made that saves so much of a request's worth. */
+    /** Draws whether to make a counter call that saves this share of the request's worth. */
     private boolean drawsCounterCall(double now, RequestState request, double savedWorthShare) {
         request.callProbability = Math.min(1, request.worth() * savedWorthShare / callBudget.price(now));
         return random.nextDouble() < request.callProbability && callBudget.allowsCall(now);
     }
 
+    /** The estimated probability that the whole quota has room for a request. */
     private double roomChance(RequestState request) {
         return admissionEstimates[request.customer.planNumber].chance(request.evidence);
     }
 
-    /** What a guess to let in may cost in the mean, in times of the worth; more by the margin. */
+    /** The expected cost of admitting a request without a call, relative to its worth and scaled by the margin. */
     private double expectedExcessCost(double now, RequestState request) {
         boolean marginApplies = now - counterAnsweredAt < STALE_LEVEL_MS;
         return (marginApplies ? admissionMargin : 1)
@@ -529,12 +780,12 @@
                 * (1 - roomChance(request));
     }
 
-    /** Whether it pays in the mean to let in what the counter is not asked about. */
+    /** Returns whether admitting the request without a counter call pays on average. */
     private boolean isAdmissionWorthwhile(double now, RequestState request) {
         return roomChance(request) > expectedExcessCost(now, request);
     }
 
-    /** Guesses have to pay the more, the longer what is let in is expected to cost over its bound. */
+    /** Raises the margin as long as the expected cost of excess exceeds its limit, and lowers it otherwise. */
     private void adjustAdmissionMargin(RequestState request, double chance) {
         excessEstimate.record(
                 request.worth() * chance, request.worth() * (1 - chance) * request.customer.plan.excessCost());
@@ -542,11 +793,12 @@
         admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * factor));
     }
 
+    /** The time for which an answer of the counter or the meter counts as evidence. */
     private static double evidenceLifetimeMs(Plan plan) {
         return EVIDENCE_BURSTS * 1000 * plan.burst() / plan.rate();
     }
 
-    /** What is known of a request's customer without asking: what the counter and the meter told last. */
+    /** What is known of a request's customer without a call: the last answers of the counter and of the meter. */
     private int evidence(double now, RequestState request) {
         CustomerState customer = request.customer;
         double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
@@ -561,13 +813,14 @@
                 request.details.retry(), overQuota, customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)));
     }
 
-    /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
+    /** Units that the others may have used since the last shared level, weighted by what excess costs. */
     private double unseenUseReserve(double now, CustomerState customer) {
         double cost = customer.plan.excessLossRatio();
         double rate = customer.othersDemand + UNSEEN_USE_SHARE * customer.plan.rate();
         return rate * (now - customer.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
+    /** Returns whether the limit of open requests allows one more; of the own share, if the others' aren't known. */
     private boolean isBelowOpenLimit(double now, CustomerState customer) {
         int limit = customer.plan.openLimit();
         boolean knowsOthers = customer.spread == 1
@@ -580,7 +833,7 @@
                         : customer.openRequests < Math.max(1, (int) (limit * processShare(now, customer))));
     }
 
-    /** When the store will have filled enough; every refusal tells a time to come back. */
+    /** The time until the quota has refilled enough; every refusal advises one. */
     private double retryAfterMs(double now, CustomerState customer, double units) {
         if (customer.plan.rate() <= 0) return boundRetryAfterMs(0);
         double quotaWaitMs = 1000 * (units - customer.quotaLevel) / customer.plan.rate();
@@ -593,12 +846,13 @@
                         : Math.max(quotaWaitMs, ownBucketWaitMs));
     }
 
+    /** Limits a retry delay to what may be advised; 0 if none may be. */
     private double boundRetryAfterMs(double waitMs) {
         double maxMs = settings.limits().maxRetryAfterMs();
         return maxMs > 0 ? Math.min(maxMs, Math.max(MIN_RETRY_AFTER_MS, waitMs)) : 0;
     }
 
-    /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
+    /** Takes units from the buckets of the quota and of the cap, or returns them where negative. */
     private void charge(double now, CustomerState customer, double units, double capUnits) {
         customer.ownTokens = Math.max(customer.ownTokens - units, -customer.plan.burst() / customer.spread);
         customer.quotaLevel =
@@ -612,15 +866,15 @@
     }
 
     /**
-     * The part follows the own use in the period that the meter tells of. Use of now over a total of long ago
-     * would grow by itself: each gateway of the set would see its own share rise until the next figure.
+     * Derives this gateway's share from its own use in the period that the meter reading covers. Current use over an
+     * older total would grow by itself: each gateway of the set would see its share rise until the next reading.
      */
     private void applyMeterReading(double now, CustomerState customer, int reading) {
         if (reading <= 0 || settings.limits().peerMessages() || customer.plan.rate() <= 0) return;
         customer.meterAt = now;
         double periodMs = settings.coordination().meterPeriodMs();
-        if (reading == customer.lastMeterReading && now - customer.meterShareAt < periodMs)
-            return; // told before: it says nothing new
+        // A reading that is repeated within its period shows nothing new.
+        if (reading == customer.lastMeterReading && now - customer.meterShareAt < periodMs) return;
         customer.lastMeterReading = reading;
         double decay = Math.exp(-Math.max(0, now - customer.meterShareAt) / DEMAND_AVERAGING_MS);
         customer.meterShareAt = now;
@@ -639,7 +893,8 @@
 
     @Override
     public void processCountChanged(double now, int count) {
-        double keptShare = Math.min(1, (double) processCount / count); // what is stored goes to new ones evenly
+        // Saved tokens are split evenly with new processes.
+        double keptShare = Math.min(1, (double) processCount / count);
         customers.values().forEach(customer -> refill(now, customer));
         processCount = count;
         for (CustomerState customer : customers.values()) {
@@ -667,9 +922,9 @@
         }
     }
 
-    // ---- questions to the counter
+    // ---- calls to the counter
 
-    /** Where gateways can't talk, the counter holds a customer's use by all of its set. */
+    /** Returns whether the counter tracks a customer's use by all of its set, as gateways can't exchange messages. */
     private boolean usesCounter(CustomerState customer) {
         return settings.coordination().hasCounter()
                 && !settings.limits().peerMessages()
@@ -678,7 +933,7 @@
                 && !customer.plan.excessPays();
     }
 
-    /** Holds a request that the own part has no room for until the whole store is known. */
+    /** Holds a request that the own share has no room for until the counter has answered. */
     private void askCounter(double now, RequestState request) {
         CustomerState customer = request.customer;
         if (now + COUNTER_CALL_ALLOWANCE_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
@@ -689,7 +944,7 @@
         if (!customer.callInFlight) callCounter(now, customer);
     }
 
-    /** Adds what was used and what is wanted: of two gateways the second then sees the first one's wish. */
+    /** Adds used and requested units in one call, so that the second of two gateways sees the first one's request. */
     private void callCounter(double now, CustomerState customer) {
         if (hasWideSet(customer)) customer.counterWindow = customer.windowAt(now, COUNTER_LIFETIME_MS);
         customer.beginCall(now);
@@ -710,7 +965,7 @@
         if (succeeded && hasWideSet(customer)) applyWindowTotal(now, customer, total);
         else if (succeeded) applyCounterTotal(now, customer, total);
         if (outcome.neverRan()) customer.unreportedUnits += customer.callUnits - customer.expiredUnitsInCall;
-        if (!succeeded) customer.expiredUnitsInCall = 0; // by the next answer it shows whether it is still due
+        if (!succeeded) customer.expiredUnitsInCall = 0; // the next answer shows whether it is still needed
         List<RequestState> answeredRequests = customer.callRequests;
         customer.callRequests = List.of();
         for (RequestState request : answeredRequests) decideAfterCounterCall(now, request, succeeded);
@@ -725,14 +980,14 @@
         flushOutbox(now);
     }
 
-    /** What the next call is to add to a customer's count, or to take off it. */
+    /** Adds to the units that the next call adds to a customer's total, or subtracts from it where negative. */
     private void addUnreported(CustomerState customer, double units) {
         customer.unreportedUnits += units;
         if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
         else unreportedCustomers.add(customer);
     }
 
-    /** In a wide set what is let in is counted here; elsewhere it is charged anew. */
+    /** Decides on a request after its call. In a wide set its units are counted here; elsewhere charging adds them. */
     private void decideAfterCounterCall(double now, RequestState request, boolean succeeded) {
         CustomerState customer = request.customer;
         double units = request.details.units();
@@ -743,7 +998,7 @@
         boolean admits = hasRoom && !request.closed && isBelowOpenLimit(now, customer);
         request.countedInTotal = admits && hasWideSet(customer);
         customer.unreportedUnits += (request.countedInTotal ? units : 0) - request.requestedUnits;
-        if (succeeded && !hasRoom) customer.unreportedUnits -= request.sampledUnits; // excess takes nothing
+        if (succeeded && !hasRoom) customer.unreportedUnits -= request.sampledUnits; // excess uses up no quota
         if (request.countedInTotal) adjustAdmissionMargin(request, succeeded ? 1 : roomChance(request));
         if (!request.closed) admitOrRefuse(now, request, admits);
     }
@@ -751,11 +1006,11 @@
     private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
         CustomerState customer = request.customer;
         admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
-        request.refusal = hasRoom ? Refusal.OPEN : Refusal.QUOTA; // if it is not let in
+        request.refusal = hasRoom ? Refusal.OPEN : Refusal.QUOTA; // applies if it isn't admitted
         customer.counterVerdict = CounterVerdict.of(hasRoom, customer.fullness());
     }
 
-    /** What is to be put right in a count has a worth too, and waits where calls save more elsewhere. */
+    /** Returns whether correcting a customer's total is worth a call; it waits while other calls save more. */
     private boolean isCounterCallWorthwhile(double now, CustomerState customer) {
         double valuePerUnit =
                 hasWideSet(customer) ? CORRECTION_WORTH_SHARE : customer.spread * (1 - customer.fullness());
@@ -766,7 +1021,7 @@
                 && units * customer.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
-    /** What the others used since the last total is gone; a smaller total is of a name begun anew. */
+    /** Subtracts the others' use since the last total. A smaller total means that the counter name was started anew. */
     private void applyCounterTotal(double now, CustomerState customer, double total) {
         boolean restarted = customer.counterTotalAt == DecisionState.NEVER || total < customer.counterTotal / 2;
         double othersUnits = total - customer.callUnits - (restarted ? 0 : customer.counterTotal);
@@ -774,9 +1029,10 @@
     }
 
     /**
-     * A store whole when the window began holds what has filled since less the total, and at most the
-     * burst: what is left unused lapses. One call adds that to the count, once it is a burst or more; of two
-     * that do so at once the second sees by its answer that it was not needed, and takes it back.
+     * Applies the total of a window. The quota held a burst when the window began; it now holds that and what has been
+     * refilled since, less the total, and at most a burst: quota that stays unused expires. Once a burst or more has
+     * expired, one call adds it to the total. Where two gateways do so at once, the second sees from its answer that
+     * its correction wasn't needed and takes it back.
      */
     private void applyWindowTotal(double now, CustomerState customer, double total) {
         double seconds = customer.elapsedInWindowMs(now, COUNTER_LIFETIME_MS) / 1000;
@@ -790,13 +1046,13 @@
         customer.applyCounterTotal(now, total, newLevel);
     }
 
-    /** What was let in by the own part is to be known to the others too, by and by. */
+    /** Adds the units admitted by the own share to the counter, so that the other gateways see them in time. */
     private void reportUsage(double now) {
         if (unreportedCustomers.isEmpty()) return;
         for (CustomerState customer : new ArrayList<>(unreportedCustomers)) {
             boolean windowEnded =
                     hasWideSet(customer) && customer.counterWindow != customer.windowAt(now, COUNTER_LIFETIME_MS);
-            if (windowEnded) customer.unreportedUnits = 0; // its name counts no more
+            if (windowEnded) customer.unreportedUnits = 0; // the name of an ended window is no longer read
             if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
             else if (!customer.callInFlight
                     && now - customer.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
@@ -804,9 +1060,9 @@
         }
     }
 
-    // ---- questions to keepers
+    // ---- queries to owners
 
-    /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
+    /** Holds a request until the next available owner answers; if there is none, the even share decides. */
     private void askOwner(double now, RequestState request, int ownerIndex) {
         CustomerState customer = request.customer;
         int owner = ownerIndex < customer.owners.length ? decidingOwner(now, customer, ownerIndex) : -1;
@@ -825,7 +1081,7 @@
         }
         request.ownerIndex = owner == customer.owners[0] ? 0 : customer.owners.length - 1;
         request.askedOwner = owner;
-        request.querySerial = peers[owner].sentSerial + 1; // of the next message: the last one did not ask for it
+        request.querySerial = peers[owner].sentSerial + 1; // of the next message; the last one didn't carry this query
         request.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!customer.pending.contains(request)) customer.pending.addLast(request);
         ownerQueries.add(request);
@@ -833,6 +1089,7 @@
         enqueuePeer(peers[owner], customer);
     }
 
+    /** Carries out the decision on a request. */
     private void admitOrRefuse(double now, RequestState request, boolean admits) {
         if (admits) admit(now, request);
         if (admits) return;
@@ -841,7 +1098,7 @@
                 request.details.id(), retryAfterMs(now, request.customer, request.details.units()), request.refusal);
     }
 
-    /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
+    /** Skips owners that missed an answer for a while; only a missing answer shows that a peer doesn't respond. */
     private void expireOwnerQueries(double now) {
         ownerQueries.removeIf(query -> query.closed || query.admitted);
         for (RequestState request :
@@ -853,9 +1110,9 @@
         }
     }
 
-    // ---- tells between gateways
+    // ---- messages between gateways
 
-    /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
+    /** Reports a change to the deciding owner at once; if that is this gateway, to the other owners at an interval. */
     private void notifyOwners(double now, CustomerState customer) {
         if (!settings.limits().peerMessages() || customer.spread == 1) return;
         int owner = decidingOwner(now, customer, 0);
@@ -870,13 +1127,14 @@
         }
     }
 
+    /** Schedules a message to a peer, with a report on the customer unless that is null. */
     private void enqueuePeer(PeerState peer, CustomerState customer) {
         if (customer != null) peer.dueReports.add(customer);
         if (!peer.queued) outbox.addLast(peer);
         peer.queued = true;
     }
 
-    /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
+    /** Sends due messages. Reports get half of the rate, since each brings an answer; answers only keep the gap. */
     private void flushOutbox(double now) {
         double ratePerMs =
                 Math.max(1, settings.coordination().peerMessagesPerSecond()) * PEER_MESSAGE_RATE_SHARE / 1000;
@@ -895,6 +1153,7 @@
         }
     }
 
+    /** Sends a message with as many due answers and reports as fit into it, answers first. */
     private void sendMessage(double now, PeerState peer) {
         List<PeerMessage.Entry> entries = new ArrayList<>();
         int maxEntries = (MAX_PEER_MESSAGE_BYTES - PeerMessage.HEADER_BYTES) / PeerMessage.MAX_ENTRY_BYTES;
@@ -915,6 +1174,7 @@
                 new PeerMessage(epoch, peer.epoch, peer.sentSerial, peer.receivedSerial, entries).encode());
     }
 
+    /** The report on a customer to its owner; it also carries the queries of the customer's pending requests. */
     private PeerMessage.Entry reportEntry(double now, CustomerState customer, PeerState owner) {
         for (RequestState request : customer.pending)
             if (request.askedOwner == owner.number) request.querySerial = owner.sentSerial;
@@ -942,6 +1202,7 @@
                 0);
     }
 
+    /** This gateway's answer, as an owner, to a report on a customer. */
     private PeerMessage.Entry answerEntry(double now, CustomerState customer, PeerState peer) {
         MemberState member = customer.member(peer);
         double peerDemand = member.demand * Math.exp(-(now - member.demandAt) / DEMAND_AVERAGING_MS);
@@ -969,11 +1230,11 @@
         PeerMessage message = sender < 0 || sender >= peers.length || sender == settings.gatewayNumber()
                 ? null
                 : PeerMessage.decode(data);
-        if (message == null) return; // unknown sender, or damaged
+        if (message == null) return; // unknown sender or damaged message
         PeerState peer = peers[sender];
         boolean sameEpoch = peer.heardFrom && message.epoch() == peer.epoch;
-        // Overtaken on the way, told twice, or from before the sender's restart.
-        // Lives are compared by difference: their field runs over every 50 days of Unix time.
+        // Reordered, duplicated or sent before the sender's restart. Epochs are compared by their difference, since
+        // their field overflows every 50 days of Unix time.
         boolean outdated = sameEpoch
                 ? !PeerMessage.isAfter(message.serial(), peer.receivedSerial)
                 : message.epoch() - peer.epoch < 0;
@@ -991,15 +1252,16 @@
         flushOutbox(now);
     }
 
-    /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
+    /** As an owner, books the reported use and grants the wanted units if the quota has them. */
     private void handleReport(double now, PeerState peer, PeerMessage.Entry entry) {
         int position = Math.floorMod(peer.number - entry.first(), peers.length);
-        if (entry.spread() > peers.length || position >= entry.spread()) return; // a set that cannot be
+        if (entry.spread() > peers.length || position >= entry.spread()) return; // no valid set
         CustomerState customer = customerState(now, entry.customer(), entry.plan(), entry.first(), entry.spread());
         if (IntStream.of(customer.owners).noneMatch(owner -> owner == settings.gatewayNumber())) return;
         boolean uninformed = isUninformed(now, customer);
         boolean adoptsLevel = entry.hasLevel() && (uninformed || decidingOwner(now, customer, 0) == peer.number);
-        if (adoptsLevel) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
+        // The report of the deciding owner, or any fresh one while this owner is uninformed, replaces the level.
+        if (adoptsLevel) {
             customer.quotaLevel = Math.min(
                     uninformed ? customer.quotaLevel : customer.plan.burst(), entry.fullness() * customer.plan.burst());
             customer.informed = true;
@@ -1028,7 +1290,8 @@
         customer.quotaLevel -= member.grantedUnits;
         if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spentUnits + member.grantedUnits != 0)
             notifyOwners(now, customer);
-        if (grants && givesCapUnits && entry.replyWanted()) { // deducted here first, so a lost message loses units
+        // Units are deducted here before they are sent, so a lost message loses units and never creates any.
+        if (grants && givesCapUnits && entry.replyWanted()) {
             customer.capTokens -= entry.wantedUnits();
             member.capUnitsGiven += entry.wantedUnits();
         }
@@ -1038,7 +1301,7 @@
         }
     }
 
-    /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
+    /** Applies an owner's answer: the level, the others' demand and the granted part of the wanted units. */
     private void handleAnswer(
             double now, PeerState peer, PeerMessage.Entry entry, int answeredSerial, boolean toThisEpoch) {
         CustomerState customer = customers.get(entry.customer());
@@ -1074,7 +1337,8 @@
             boolean admits = grantedUnits >= units && (customer.plan.capRate() <= 0 || customer.capTokens >= units);
             grantedUnits -= admits ? units : 0;
             admitOrRefuse(now, request, admits);
-            int primaryOwner = customer.owners[0]; // it did not book what another let in
+            // The primary owner hasn't booked the units that another owner granted.
+            int primaryOwner = customer.owners[0];
             if (admits && peer.number != primaryOwner && primaryOwner != settings.gatewayNumber())
                 enqueuePeer(peers[primaryOwner], customer);
         }
@@ -1082,13 +1346,13 @@
 
     // ---- release
 
-    /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
+    /** The limit of attempts in flight: an even share of the fleet's concurrency and headroom for random bursts. */
     private double concurrencyLimit() {
         double evenShare = concurrencyPerHost * Math.max(1, warmCapacity) / (peers.length * processCount);
         return Math.max(1, evenShare + BURST_HEADROOM * Math.sqrt(evenShare) * (1 - 1.0 / peers.length));
     }
 
-    /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
+    /** Work-conserving fair queueing: the backlogged class with the smallest virtual time goes next. */
     private void releaseQueued(double now) {
         double limit = concurrencyLimit();
         LinkedHashSet<ClassState> blocked = new LinkedHashSet<>();
@@ -1104,6 +1368,7 @@
         requestsWaited = true;
     }
 
+    /** Sends the first queued request of a class that has a permitted host; returns false if there is none. */
     private boolean releaseNext(double now, ClassState classState) {
         for (RequestState request : classState.queue.stream().limit(MAX_SCANNED).toList()) {
             TrackedHost host = pickHost(now, request);
@@ -1136,7 +1401,7 @@
         actions.send(request.details.id(), host.info.id(), 0);
     }
 
-    /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
+    /** The time by which a queued request must be sent or answered here: rule 1, and no work for late answers. */
     private double holdDeadline(RequestState request) {
         double deadline = request.details.deadlineMs() - DEADLINE_MARGIN_MS;
         if (request.firstPossibleRun() != null) return deadline;
@@ -1148,30 +1413,32 @@
         return Math.min(deadline, request.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * goal, maxHold));
     }
 
+    /** Ends the queued requests whose hold deadline has passed. */
     private void expireQueued(double now) {
         for (ClassState classState : classes.values()) {
             for (RequestState request : classState.queue.stream()
                     .filter(queued -> now >= holdDeadline(queued))
                     .toList()) {
                 classState.recordDelay(now - request.arrivedAt, 0);
-                finishUnserved(now, request); // takes it from the queue
+                finishUnserved(now, request); // removes it from the queue
             }
         }
     }
 
-    /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
+    /** Ends a request that no host has served. A refusal invites a retry, so it requires that one is safe (rule 2). */
     private void finishUnserved(double now, RequestState request) {
         RequestClass spec = request.classState.spec;
         boolean retryIsSafe = request.firstPossibleRun() == null
                 || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         closeRequest(now, request);
-        // A place may be had once what is held now has left.
+        // There may be room once the requests queued now have been sent.
         double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
         if (retryIsSafe) actions.refuse(request.details.id(), waitMs, Refusal.PLACE);
         else actions.fail(request.details.id());
     }
 
+    /** Closes a request: no answer to it is due any more. Returns its units if it was never sent. */
     private void closeRequest(double now, RequestState request) {
         if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
         if (request.closed) return;
@@ -1182,18 +1449,19 @@
         customer.pending.remove(request);
         if (!request.admitted) return;
         customer.openRequests--;
-        if (request.attempts.stream()
-                .allMatch(attempt -> attempt.neverSent)) { // let in but never sent: the units go back
-            customer.unsentUnits +=
-                    request.attempts.isEmpty() ? 0 : request.details.units(); // taken off as it was to leave
+        // The units of a request that was admitted but never sent are returned.
+        if (request.attempts.stream().allMatch(attempt -> attempt.neverSent)) {
+            // Subtracted from the unsent units when its first attempt began.
+            customer.unsentUnits += request.attempts.isEmpty() ? 0 : request.details.units();
             charge(now, customer, -request.details.units(), -request.details.units());
             if (request.countedInTotal) addUnreported(customer, -request.details.units());
         }
     }
 
+    /** Adjusts the concurrency limit by the latency of the answers since the last adjustment. */
     private void adjustConcurrency(double now) {
         if (now - concurrencyAdjustedAt < CONCURRENCY_INTERVAL_MS) return;
-        // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
+        // Few answers show nothing: even on idle hosts one answer in five takes twice its expected time.
         if (answerCount > 0
                 && answerCount < CONCURRENCY_MIN_ANSWERS
                 && now - concurrencyAdjustedAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
@@ -1212,12 +1480,14 @@
         classes.values().forEach(classState -> classState.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
     }
 
-    // ---- weights by donation
+    // ---- class weights by donation
 
+    /** The mean delay that a class may have. */
     static double delayGoalMs(ClassState classState) {
         return classState.spec.goalMs() * DELAY_GOAL_SHARE;
     }
 
+    /** Updates the mean delays and, at the donation interval, moves weight between the classes. */
     private void adjustWeights(double now) {
         if (now - delayIntervalEndedAt < DELAY_INTERVAL_MS) return;
         delayIntervalEndedAt = now;
@@ -1232,7 +1502,11 @@
         requestsWaited = false;
     }
 
-    /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
+    /**
+     * Moves weight to the class furthest above its delay goal from the classes below theirs, each in proportion to its
+     * surplus and limited to what keeps it within its goal. The sum of all weights stays the same. Returns whether any
+     * weight has moved.
+     */
     static boolean donateWeight(List<ClassState> classStates) {
         ClassState worst = null;
         double surplus = 0;
@@ -1242,7 +1516,7 @@
                 worst = classState;
             surplus += surplus(classState);
         }
-        if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
+        if (worst == null || surplus <= 0) return false; // all meet their goals, or none has a surplus
         double wanted =
                 worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
@@ -1260,6 +1534,7 @@
         return moved > 0;
     }
 
+    /** The weight that a class can spare; 0 if its delay isn't below the band around its goal. */
     private static double surplus(ClassState classState) {
         if (classState.meanDelay > (1 - EPSILON) * delayGoalMs(classState)) return 0;
         return (delayGoalMs(classState) - classState.meanDelay)
@@ -1268,7 +1543,7 @@
 
     // ---- hosts
 
-    /** Failures tell of a class on a host, which may serve the others as before; slow answers of the host. */
+    /** Failures count against one class on a host, which may serve the other classes well; latency against the host. */
     private static double slowness(double now, TrackedHost host, ClassState classState) {
         return host.health.slowness(now) * host.classHealth(classState).slowness(now);
     }
@@ -1280,14 +1555,14 @@
                 .count();
     }
 
-    /** A host that drains, or that is taken to be in trouble for every class. */
+    /** Returns whether a host drains or is taken to be unhealthy for every class. */
     private boolean isAvoided(double now, TrackedHost host) {
         return !host.isEligible()
                 || classes.values().stream()
                         .allMatch(classState -> slowness(now, host, classState) >= UNHEALTHY_SLOWNESS);
     }
 
-    /** Counts the hosts in use, so that each event needs only look-ups. */
+    /** Lists the usable hosts anew, so that each event needs only look-ups. */
     private void refreshHosts(double now) {
         hostsRefreshedAt = now;
         eligibleHosts.clear();
@@ -1298,8 +1573,8 @@
             warmCapacity +=
                     host.health.slowness(now) < FULL_HOST_SLOWNESS ? host.capacityShare(now, settings.rules()) : 0;
         }
-        // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
-        // each, and tables that do not fill where there are hundreds of gateways.
+        // Each gateway uses a subset of the hosts, rotated by its number: it gets more answers and warm connections
+        // from each, and the hosts' connection tables don't fill up where there are hundreds of gateways.
         eligibleHosts.sort(Comparator.comparing(host -> host.info.id().hashCode()));
         subset.clear();
         int subsetSize = Math.max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_HOST * eligibleHosts.size() / peers.length);
@@ -1310,12 +1585,12 @@
     }
 
     /**
-     * The best of a few hosts drawn by what each can do; null where none may be used. The best by the few own
-     * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
-     * attempts out can tell apart, and where that is all of them, all.
+     * Returns the best of a few hosts drawn at random by their health, or null if no host is permitted. One of many
+     * gateways has few attempts of its own in flight, and the best host by such counts would be the best for all
+     * gateways at once. So only as many hosts are compared as these attempts can tell apart, up to the whole subset.
      */
     private TrackedHost pickHost(double now, RequestState request) {
-        int candidateCount = Math.min(subset.size(), MIN_CANDIDATES + 2 * attemptsInFlight);
+        int candidateCount = Math.min(subset.size(), MIN_CANDIDATES + CANDIDATES_PER_ATTEMPT * attemptsInFlight);
         TrackedHost best = bestHost(
                 now,
                 request,
@@ -1324,10 +1599,12 @@
         return best != null ? best : bestHost(now, request, eligibleHosts, eligibleHosts.size());
     }
 
+    /** Returns whether this gateway has enough attempts in flight to tell all hosts of its subset apart. */
     private boolean canCompareSubset() {
-        return MIN_CANDIDATES + 2 * attemptsInFlight >= subset.size();
+        return MIN_CANDIDATES + CANDIDATES_PER_ATTEMPT * attemptsInFlight >= subset.size();
     }
 
+    /** Draws distinct hosts of the subset at random; a slow host is drawn less often, in proportion. */
     private Collection<TrackedHost> drawCandidates(double now, ClassState classState, int candidateCount) {
         LinkedHashSet<TrackedHost> candidates = new LinkedHashSet<>();
         for (int i = 0; i < candidateCount * MAX_SCANNED && candidates.size() < candidateCount; i++) {
@@ -1343,24 +1620,26 @@
         double bestScore = Double.MAX_VALUE;
         for (TrackedHost host : candidates) {
             if (!host.isEligible() || !mayRunOn(now, request, request.firstPossibleRun(), host)) continue;
-            // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
+            // A cold host has no attempts in flight and would win each time, so it is a candidate only as often as it
+            // may win (rule 4).
             double capacityShare = host.capacityShare(now, settings.rules());
             double allowance = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * capacityShare;
             if (capacityShare < 1 && random.nextDouble() * candidateCount > allowance) continue;
-            double score = score(now, request, host) * (1 + 1e-3 * random.nextDouble());
+            double score = score(now, request, host) * (1 + TIE_BREAK_NOISE * random.nextDouble());
             if (score < bestScore) best = host;
             bestScore = Math.min(bestScore, score);
         }
         return best;
     }
 
+    /** The expected cost of a request on a host; the lowest score wins. */
     private double score(double now, RequestState request, TrackedHost host) {
         double slowness = slowness(now, host, request.classState);
-        if (!canCompareSubset() && slowness < UNHEALTHY_SLOWNESS) slowness = 1; // drawn by it already
+        if (!canCompareSubset() && slowness < UNHEALTHY_SLOWNESS) slowness = 1; // the draw has applied it already
         for (Attempt attempt : request.attempts) {
             if (attempt.host == host) slowness *= FULL_HOST_SLOWNESS;
         }
-        // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
+        // The own zone is preferred only where the own counts show its load; otherwise a crowded zone would get more.
         double zoneCost = !canCompareSubset() || host.info.zone().equals(settings.zone())
                 ? 0
                 : CROSS_ZONE_COST * request.expectedMs();
@@ -1368,7 +1647,7 @@
                 + zoneCost;
     }
 
-    /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
+    /** Rule 2: once an attempt may have run, a request goes only where a repeat does no harm. */
     private boolean mayRunOn(double now, RequestState request, Attempt possibleRun, TrackedHost host) {
         return isRepeatable(now, request, possibleRun)
                 && (possibleRun == null
@@ -1383,13 +1662,14 @@
                 || spec.effect() == Effect.KEYED && now < possibleRun.sentAt + usableKeyWindowMs(spec);
     }
 
-    /** A further attempt may first wait for a connection as long as one may take to come up. */
+    /** The part of a key's window that is usable: a retry may first have to wait for a new connection. */
     private double usableKeyWindowMs(RequestClass spec) {
         return Math.min(
                 KEY_WINDOW_SHARE * spec.keyWindowMs(),
                 spec.keyWindowMs() - settings.limits().connectTimeoutMs());
     }
 
+    /** Returns whether a request may have a further attempt, and if so takes a token for it. */
     private boolean acquireRetry(double now, RequestState request) {
         boolean allowed = isRepeatable(now, request, request.firstPossibleRun())
                 && !request.streaming
@@ -1400,6 +1680,7 @@
         return allowed;
     }
 
+    /** Updates the health of the host, the latency figures and the charge by the outcome of an attempt. */
     private void recordOutcome(double now, RequestState request, Attempt attempt, AttemptResult result) {
         TrackedHost host = attempt.host;
         ClassState classState = request.classState;
@@ -1407,10 +1688,10 @@
             case OK -> {
                 host.health.observe(now, result.latencyMs() / Math.max(1, attempt.expectedMs), LATENCY_GAIN);
                 host.classHealth(classState).observe(now, 1, FAILURE_GAIN);
-                double perUnit = result.latencyMs() / Math.max(0.1, request.details.units());
+                double perUnit = result.latencyMs() / Math.max(MIN_LATENCY_UNITS, request.details.units());
                 classState.samples++;
-                classState.latencyPerUnit +=
-                        Math.max(0.03, 1.0 / classState.samples) * (perUnit - classState.latencyPerUnit);
+                classState.latencyPerUnit += Math.max(MIN_LATENCY_MEAN_GAIN, 1.0 / classState.samples)
+                        * (perUnit - classState.latencyPerUnit);
                 classState.recordDelay(0, result.latencyMs());
                 if (request.customer != null && settings.coordination().postPaid() && result.actualUnits() > 0) {
                     charge(now, request.customer, result.actualUnits() - request.details.units(), 0);
@@ -1418,14 +1699,14 @@
                         addUnreported(request.customer, result.actualUnits() - request.details.units());
                 }
             }
-            // No connection: down or full, the host takes nothing from us now; one is enough.
+            // The host is down or its connection table is full: one failure is enough to avoid it.
             case CONNECT_FAILED -> host.health.observe(now, Health.MAX_SLOWNESS, 1);
             case FULL -> host.health.observe(now, FULL_HOST_SLOWNESS, FAILURE_GAIN);
             case ERROR, RESET, TIMEOUT -> host.classHealth(classState).observe(now, Health.MAX_SLOWNESS, FAILURE_GAIN);
             default -> {}
         }
         if (result.outcome() == Outcome.OK || result.outcome() == Outcome.TIMEOUT) {
-            latencySum += result.latencyMs(); // a time-out is an answer at least that late
+            latencySum += result.latencyMs(); // a timeout counts as an answer of at least that latency
             baselineSum += classState.baselineLatency * request.details.units();
             goalShareSum += result.latencyMs() / classState.spec.goalMs();
             answerCount++;
@@ -1433,6 +1714,7 @@
         if (request.customer != null) applyMeterReading(now, request.customer, result.meterReading());
     }
 
+    /** Counts overdue attempts against their hosts, and cancels those that can still be retried elsewhere. */
     private void checkOverdueAttempts(double now) {
         for (TrackedHost host : new ArrayList<>(busyHosts)) {
             for (Attempt attempt : new ArrayList<>(host.attemptsInFlight)) {
@@ -1451,6 +1733,7 @@
         }
     }
 
+    /** Forgets idle customers and the hosts that left the list. */
     private void evictIdle(double now) {
         if (now - sweptAt < SWEEP_INTERVAL_MS) return;
         sweptAt = now;
