--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -208,9 +208,6 @@
     /** Smallest weight of one answer in the mean latency of a class. */
     private static final double MIN_LATENCY_MEAN_GAIN = 0.03;
 
-    /** Units that a request counts as at least, when latency is related to units. */
-    private static final double MIN_LATENCY_UNITS = 0.1;
-
     /** Answers after which the latency baseline no longer follows the average upwards. */
     private static final int BASELINE_MIN_SAMPLES = 20;
 
@@ -1688,7 +1685,7 @@
             case OK -> {
                 host.health.observe(now, result.latencyMs() / Math.max(1, attempt.expectedMs), LATENCY_GAIN);
                 host.classHealth(classState).observe(now, 1, FAILURE_GAIN);
-                double perUnit = result.latencyMs() / Math.max(MIN_LATENCY_UNITS, request.details.units());
+                double perUnit = result.latencyMs() / Math.max(DecisionState.MIN_LATENCY_UNITS, request.details.units());
                 classState.samples++;
                 classState.latencyPerUnit += Math.max(MIN_LATENCY_MEAN_GAIN, 1.0 / classState.samples)
                         * (perUnit - classState.latencyPerUnit);
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -14,13 +14,23 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 
-/** What one gateway remembers: plain fields and look-ups, no decision; Brain alone reads meaning into them. */
+/**
+ * The state of the decision module: requests, customers, peers, request classes and hosts as one gateway sees them.
+ * These types hold data and derive figures from it; all decisions are made in {@link DecisionModule}.
+ */
 final class DecisionState {
+    /** The time of an event that hasn't happened yet. */
     static final double NEVER = Double.NEGATIVE_INFINITY;
 
+    /** Units that a request counts as at least, when latency is related to units. */
+    static final double MIN_LATENCY_UNITS = 0.1;
+
     private DecisionState() {}
 
-    /** The gateways of a set that stand first by the hash of a thing: each gateway finds the same by itself. */
+    /**
+     * Returns the {@code count} gateways of a set that rank first for a key by rendezvous hashing, so that all gateways
+     * find the same ones without a message. The set has {@code spread} gateways from number {@code first} on.
+     */
     static int[] rankGateways(long key, int first, int spread, int gateways, int count) {
         return IntStream.range(first, first + spread)
                 .map(g -> Math.floorMod(g, gateways))
@@ -36,8 +46,11 @@
         return (hash ^ hash >>> 29) * 0xBF58476D1CE4E5B9L ^ hash >>> 32;
     }
 
-    /** A class's queue, its place in the fair turns, its delay and its slope. */
+    /** A request class: its queue, its virtual time in fair queueing, and its latency and delay figures. */
     static final class ClassState {
+        /** A smaller change of weight shows no slope. */
+        private static final double MIN_WEIGHT_CHANGE = 1e-6;
+
         final RequestClass spec;
         final ArrayDeque<RequestState> queue = new ArrayDeque<>();
         double weight;
@@ -50,7 +63,7 @@
         double meanDelay;
         double intervalDelaySum;
         int intervalCount;
-        double delaySlope; // magnitude: delay lost for each unit of weight gained; 0 = not known yet
+        double delaySlope; // delay lost for each unit of weight gained, as a magnitude; 0 = not known yet
         double previousDelay;
         double previousWeight;
 
@@ -58,29 +71,33 @@
             this.spec = spec;
         }
 
+        /**
+         * Adds to the delay of the current interval. It is called with the time in the queue when a request leaves it, which
+         * counts the request, and with the latency when its answer arrives.
+         */
         void recordDelay(double holdMs, double latencyMs) {
             intervalDelaySum += holdMs + latencyMs;
             intervalCount += latencyMs > 0 ? 0 : 1;
         }
 
-        /** The base of the latency holds from so many samples on, and drifts up to what lasts. */
+        /** Updates the latency baseline, which from {@code minSamples} on rises only by the growth factor at a time. */
         void updateBaseline(int minSamples, double growth) {
             baselineLatency =
                     Math.min(samples < minSamples ? latencyPerUnit : baselineLatency * growth, latencyPerUnit);
         }
 
-        /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
-        void measureSlope(double leastMagnitude) {
+        /** Updates the slope. A slope is negative; one near zero or of the wrong sign leaves the last good value. */
+        void measureSlope(double minMagnitude) {
             double moved = weight - previousWeight;
-            if (previousWeight > 0 && Math.abs(moved) > 1e-6) {
+            if (previousWeight > 0 && Math.abs(moved) > MIN_WEIGHT_CHANGE) {
                 double magnitude = -(meanDelay - previousDelay) / moved;
-                if (magnitude > leastMagnitude) delaySlope = magnitude;
+                if (magnitude > minMagnitude) delaySlope = magnitude;
             }
             previousWeight = weight;
             previousDelay = meanDelay;
         }
 
-        /** Ends a tick; {@code alpha} is the weight of the ticks before. */
+        /** Adds the delays of the ended interval to the mean; {@code alpha} is the weight of the earlier intervals. */
         void endDelayInterval(double alpha) {
             if (intervalCount > 0) {
                 double mean = intervalDelaySum / intervalCount;
@@ -91,15 +108,15 @@
         }
     }
 
-    /** What is known of a peer gateway, and what waits to be told to it. */
+    /** What is known of a peer gateway, and the customers of which messages to it are due. */
     static final class PeerState {
         final int number;
-        final LinkedHashSet<CustomerState> dueReports = new LinkedHashSet<>(); // to it as a keeper
-        final LinkedHashSet<CustomerState> dueAnswers = new LinkedHashSet<>(); // to it by this gateway as a keeper
-        boolean queued; // stands in the outbox
+        final LinkedHashSet<CustomerState> dueReports = new LinkedHashSet<>(); // for it as an owner
+        final LinkedHashSet<CustomerState> dueAnswers = new LinkedHashSet<>(); // by this gateway as an owner
+        boolean queued; // a message to it is due
         boolean heardFrom;
         int epoch;
-        int sentSerial; // of the last message to it
+        int sentSerial; // number of the last message to it
         int receivedSerial;
         double sentAt = NEVER;
         double unresponsiveUntil = NEVER;
@@ -109,64 +126,63 @@
         }
     }
 
-    /** What a gateway of a customer's set and its keeper know of each other; starts anew with either's life. */
+    /** What a gateway of a customer's set and an owner know of each other; it is reset when either of them restarts. */
     static final class MemberState {
         int epoch;
         boolean hasReported;
-        double bookedUnits;
-        double grantedUnits;
+        double bookedUnits; // by the owner: reported as used, and granted
+        double grantedUnits; // by the last answer
         double demand;
         double demandAt;
         int openRequests;
-        double capUnitsGiven;
-        double capUnitsTaken;
+        double capUnitsGiven; // by this gateway as an owner
+        double capUnitsTaken; // by this gateway from an owner
     }
 
-    /** One customer's stores here; as its keeper, also what the others of its set told. */
+    /** A customer's token buckets at this gateway; if this is an owner, also what the rest of the set reported. */
     static final class CustomerState {
         final long id;
         final int planNumber;
         final Plan plan;
         final int first;
         final int spread;
-        final int[] owners; // gateways of its set, the first in charge
+        final int[] owners; // gateways of its set that keep its account, the primary owner first
         final Map<Integer, MemberState> members = new TreeMap<>();
-        final ArrayDeque<RequestState> pending = new ArrayDeque<>(); // requests that wait for a keeper's word
-        double ownTokens; // the own bucket
-        double quotaLevel; // the whole store: as a keeper what is booked, else the most that it can hold
+        final ArrayDeque<RequestState> pending = new ArrayDeque<>(); // requests that wait for an owner or the counter
+        double ownTokens; // this gateway's bucket: its share of the quota
+        double quotaLevel; // the whole quota's bucket: booked use at an owner, elsewhere an upper limit
         double capTokens;
         double refilledAt;
         double demand;
-        double othersDemand; // demand of the other gateways
+        double othersDemand; // units a second, of the other gateways
         int othersOpenRequests;
         double usedUnits;
-        double unsentUnits; // ceiling units let in whose requests have not left yet
-        double sharedLevelAt = NEVER; // when a keeper last told
+        double unsentUnits; // cap units of admitted requests that are not sent yet
+        double sharedLevelAt = NEVER; // when an owner or the counter last told the level
         double ownerNotifiedAt = NEVER;
-        boolean informed; // as a keeper: knows what was used before its start
+        boolean informed; // as an owner: knows the use before its start
         final UsageHistory usageHistory = new UsageHistory();
-        int lastMeterReading; // as last told by the meter
-        double meterTotal; // what the meter told, and what was used here in the same periods, older ones less
-        double meterOwn;
+        int lastMeterReading; // 0 before the first one
+        double meterTotal; // use by the meter, older periods weighted less
+        double meterOwn; // use at this gateway in the same periods, with the same weights
         double meterShare;
-        double meterSeconds; // that the two figures above cover
-        double spareUnits; // the whole store as far as own use and the meter show it
-        double meterShareAt = NEVER; // when the part was last taken from a new figure
+        double meterSeconds; // time that the two figures above cover
+        double spareUnits; // level of the whole quota as estimated from own use and the meter
+        double meterShareAt = NEVER; // when the share was last derived from a new reading
         double meterAt = NEVER;
         int openRequests;
-        double counterTotal; // as last told by the counter
+        double counterTotal; // the counter's last result
         double counterTotalAt = NEVER;
         double admittedAt = NEVER;
         double counterCalledAt = NEVER;
-        double unreportedUnits; // units used here that no call has added yet; below nothing: to be given back
-        double callUnits; // units that the call under way adds
-        boolean callInFlight; // a call is under way
-        long counterWindow; // by the clock, of the name that it adds to, in a wide set
-        double expiredUnits; // units that have lapsed unused, to be added by the next call
-        double expiredUnitsInCall; // and by the call under way
-        AdmissionEstimate.CounterVerdict counterVerdict =
-                AdmissionEstimate.CounterVerdict.UNKNOWN; // by the counter, when it was asked last
-        List<RequestState> callRequests = List.of(); // requests whose units it carries
+        double unreportedUnits; // units used here that no call has added yet; negative: to be subtracted
+        double callUnits; // units that the call in flight adds
+        boolean callInFlight;
+        long counterWindow; // number of the time window of the counter name, in a wide set
+        double expiredUnits; // quota that expired unused, to be added by the next call
+        double expiredUnitsInCall; // the same, added by the call in flight
+        AdmissionEstimate.CounterVerdict counterVerdict = AdmissionEstimate.CounterVerdict.UNKNOWN; // of the last call
+        List<RequestState> callRequests = List.of(); // requests that the call in flight decides on
 
         CustomerState(long id, int planNumber, Plan plan, int first, int spread, int[] owners, double now) {
             this.id = id;
@@ -178,7 +194,7 @@
             this.refilledAt = now;
         }
 
-        /** What is known between this gateway and a peer on this customer, new for each life of the peer. */
+        /** What this gateway and a peer know of each other on this customer; it is reset when the peer restarts. */
         MemberState member(PeerState peer) {
             MemberState member = members.get(peer.number);
             if (member == null || member.epoch != peer.epoch) {
@@ -191,23 +207,25 @@
         }
 
         /**
-         * The number of the time by the clock that one name counts, so that one call tells a gateway that has never
-         * seen the customer what may be left; each customer's begins at another moment, or all would in step.
+         * The number of the time window at {@code now}. A counter name covers one window of the clock, so that a single
+         * call shows the remaining quota to a gateway that has never seen the customer. The windows of customers start
+         * at different times; otherwise all would call at once.
          */
         long windowAt(double now, double lengthMs) {
             return (long) Math.floor((now + Math.floorMod(id, (long) lengthMs)) / lengthMs);
         }
 
+        /** The time since the window of the current counter name began. */
         double elapsedInWindowMs(double now, double lengthMs) {
             return now + Math.floorMod(id, (long) lengthMs) - counterWindow * lengthMs;
         }
 
-        /** What the own part filled again while the store stood full is not owed to the count. */
+        /** Drops unreported units that the own share has refilled in the meantime while the quota was full. */
         void reduceUnreported(double units) {
             if (unreportedUnits > 0) unreportedUnits = Math.max(0, unreportedUnits - units);
         }
 
-        /** All that waits to be asked and added goes with one call. */
+        /** Starts a call that adds all unreported units and asks for all pending requests. */
         void beginCall(double now) {
             callRequests = new ArrayList<>(pending);
             pending.clear();
@@ -219,14 +237,14 @@
             counterCalledAt = now;
         }
 
-        /** Units that the call under way adds for the requests that it asks for, and for those that these stand for. */
+        /** Units that the call in flight adds for its requests and for those that they represent. */
         double callRequestUnits() {
             return callRequests.stream()
                     .mapToDouble(a -> a.requestedUnits + a.sampledUnits)
                     .sum();
         }
 
-        /** A total of the counter and what it shows of the store, from which excess takes nothing. */
+        /** Applies a total of the counter and the quota level that follows from it; excess uses up no quota. */
         void applyCounterTotal(double now, double newTotal, double newLevel) {
             counterTotal = newTotal;
             counterTotalAt = sharedLevelAt = now;
@@ -234,16 +252,18 @@
             spareUnits = Math.min(spareUnits, quotaLevel);
         }
 
-        /** The name at the counter, with its window where it has one. */
+        /** The customer's name at the counter, with the number of the window where it has one. */
         String counterName(boolean withWindow) {
             return "u" + Long.toHexString(id) + (withWindow ? "." + counterWindow : "");
         }
 
+        /** The id of the customer that a counter name belongs to. */
         static long idOfCounterName(String name) {
             int end = name.indexOf('.') < 0 ? name.length() : name.indexOf('.');
             return Long.parseLong(name, 1, end, 16);
         }
 
+        /** What another process of this gateway needs to know of the customer. */
         Gateway.CustomerSnapshot snapshot() {
             return new Gateway.CustomerSnapshot(
                     id,
@@ -262,7 +282,7 @@
                     Math.max(0, counterTotalAt));
         }
 
-        /** What one of so many processes of this gateway has of what it remembers. */
+        /** Restores a snapshot taken by another process; tokens are split evenly among the gateway's processes. */
         void restore(Gateway.CustomerSnapshot remembered, int processes) {
             ownTokens = remembered.tokens() / processes;
             quotaLevel = remembered.level();
@@ -276,13 +296,13 @@
             counterTotalAt = remembered.totalAt() > 0 ? remembered.totalAt() : NEVER;
         }
 
-        /** A request of it is let in. */
+        /** Counts a request that is admitted. */
         void requestAdmitted(double now) {
             openRequests++;
             admittedAt = now;
         }
 
-        /** What this gateway learned of its store itself, as long as that tells of it. */
+        /** The counter's last verdict if it is recent, otherwise whether this gateway admitted a request recently. */
         AdmissionEstimate.CounterVerdict counterVerdict(double now, double lifetimeMs) {
             if (now - counterTotalAt < lifetimeMs) return counterVerdict;
             return now - admittedAt < lifetimeMs
@@ -290,19 +310,22 @@
                     : AdmissionEstimate.CounterVerdict.UNKNOWN;
         }
 
+        /** The quota's level as a share of its burst. */
         double fullness() {
             return plan.burst() > 0 ? quotaLevel / plan.burst() : 1;
         }
 
+        /** Units of the requests that wait for a decision. */
         double pendingUnits() {
             return pending.stream().mapToDouble(a -> a.details.units()).sum();
         }
     }
 
-    /** What was used in the last few seconds, by slots of time. */
+    /** Units used in the last few seconds, in time slots of a ring buffer. */
     static final class UsageHistory {
         private static final double SLOT_MS = 200;
-        private final double[] slots = new double[16];
+        private static final int SLOT_COUNT = 16;
+        private final double[] slots = new double[SLOT_COUNT];
         private long newestSlot = Long.MIN_VALUE;
 
         private static long slotNumber(double at) {
@@ -313,6 +336,7 @@
             return Math.floorMod(slot, slots.length);
         }
 
+        /** Adds units used now. */
         void add(double now, double units) {
             long slot = slotNumber(now);
             for (long s = Math.max(newestSlot + 1, slot - slots.length + 1); s <= slot; s++) {
@@ -322,7 +346,7 @@
             slots[slotIndex(newestSlot)] += units;
         }
 
-        /** The sum from one time to another, to the slot; what is older than the trail is forgotten. */
+        /** The units used between two times, to the precision of a slot; use that has left the buffer counts as 0. */
         double usedBetween(double from, double to) {
             double sum = 0;
             for (long s = Math.max(slotNumber(from), newestSlot - slots.length + 1);
@@ -334,17 +358,23 @@
         }
     }
 
-    /** How many times slower than usual a host was last taken to be, and when. */
+    /** How many times slower than usual a host, or a class on a host, was last taken to be, and when. */
     static final class Health {
-        static final double MAX_SLOWNESS = 12; // largest slowness that is believed
-        private static final double DECAY_MS = 6000; // slowness not confirmed fades: a trial by itself
+        /** Largest slowness that is recorded. */
+        static final double MAX_SLOWNESS = 12;
+
+        /** Time constant of the decay of slowness: a host that isn't used recovers and so is tried again. */
+        private static final double DECAY_MS = 6000;
+
         private double lastSlowness = 1;
         private double observedAt;
 
+        /** The slowness now; 1 is the usual speed. */
         double slowness(double now) {
             return 1 + (lastSlowness - 1) * Math.exp(-(now - observedAt) / DECAY_MS);
         }
 
+        /** Moves the slowness towards an observed ratio; {@code gain} is the weight of the observation. */
         void observe(double now, double ratio, double gain) {
             lastSlowness = slowness(now) + gain * (Math.min(MAX_SLOWNESS, ratio) - slowness(now));
             observedAt = now;
@@ -353,6 +383,9 @@
 
     /** A host as this gateway sees it. */
     static final class TrackedHost {
+        /** Smallest capacity share, so that a score divided by it stays finite. */
+        private static final double MIN_CAPACITY_SHARE = 0.01;
+
         final LinkedHashSet<Attempt> attemptsInFlight = new LinkedHashSet<>();
         Host info;
         boolean listed = true;
@@ -365,10 +398,12 @@
             this.info = info;
         }
 
+        /** The health of one class on this host. */
         Health classHealth(ClassState classState) {
             return healthByClass.computeIfAbsent(classState.spec.name(), n -> new Health());
         }
 
+        /** Applies an update by discovery; a new start makes the host cold and clears its slowness. */
         void update(Host update) {
             info = update;
             listed = update.state() != HostState.GONE;
@@ -378,19 +413,21 @@
             }
         }
 
-        /** What a host that warms up can do by the rules' figures, as share of a warm one's. */
+        /** The capacity of a host that warms up, as a share of a warm host's, by the rules' figures. */
         double capacityShare(double now, Gateway.Rules rules) {
             double progress = (now - startedAt) / Math.max(1, rules.warmWithinMs());
             return progress >= 1
                     ? 1
-                    : Math.max(0.01, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, progress));
+                    : Math.max(MIN_CAPACITY_SHARE, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, progress));
         }
 
+        /** Returns whether the host may get new requests. */
         boolean isEligible() {
             return listed && info.state() == HostState.RUNNING;
         }
     }
 
+    /** One attempt of a request at a host. */
     static final class Attempt {
         final RequestState request;
         final int number;
@@ -399,7 +436,7 @@
         final double expectedMs;
         boolean inFlight = true;
         boolean neverRan;
-        boolean neverSent; // it never left
+        boolean neverSent;
         boolean overdue;
 
         Attempt(RequestState request, TrackedHost host, double sentAt, double expectedMs) {
@@ -410,12 +447,14 @@
             this.expectedMs = expectedMs;
         }
 
+        /** Adds the attempt to its request and host as in flight. */
         void begin() {
             request.attempts.add(this);
             host.attemptsInFlight.add(this);
             host.expectedMsInFlight += expectedMs;
         }
 
+        /** Removes the attempt from those in flight. */
         void end(Gateway.Outcome outcome) {
             inFlight = false;
             neverRan = outcome.neverRan();
@@ -425,7 +464,7 @@
         }
     }
 
-    /** A request held or under way. */
+    /** A request that is queued, waits for a decision or has an attempt in flight. */
     static final class RequestState {
         final Request details;
         final ClassState classState;
@@ -433,18 +472,18 @@
         final double arrivedAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean admitted;
-        Gateway.Refusal refusal = Gateway.Refusal.PART; // why, if it is refused
-        double callProbability; // of such requests for which a call is made
-        int evidence; // what was known of its customer when it came
-        double requestedUnits; // units that its call adds for itself
-        double sampledUnits; // and for those that are let in unasked
-        boolean countedInTotal; // its own units are in the total
+        Gateway.Refusal refusal = Gateway.Refusal.PART; // reason, if it is refused
+        double callProbability; // share of such requests for which a counter call is made
+        int evidence; // index of what was known of its customer on arrival
+        double requestedUnits; // units that its counter call adds for itself
+        double sampledUnits; // units that it adds for requests admitted without a call
+        boolean countedInTotal; // its units are part of the counter's total
         boolean closed;
         boolean streaming;
-        int ownerIndex; // which of the customer's keepers is asked
-        int askedOwner; // its number
-        int querySerial; // of the message that asked
-        double answerDueAt; // when its answer counts as missing
+        int ownerIndex; // position of the asked owner among the customer's owners
+        int askedOwner; // number of the asked owner
+        int querySerial; // number of the message that carried the query
+        double answerDueAt; // the answer counts as missing from this time on
 
         RequestState(Request details, ClassState classState, CustomerState customer, double arrivedAt) {
             this.details = details;
@@ -453,16 +492,17 @@
             this.arrivedAt = arrivedAt;
         }
 
+        /** The worth of the request inside its customer's quota. */
         double worth() {
             return classState.spec.worth() * customer.plan.valueFactor() * details.units();
         }
 
-        /** Time that the class's requests of this size have been taking. */
+        /** The mean latency of the class's requests of this size. */
         double expectedMs() {
-            return classState.latencyPerUnit * Math.max(details.units(), 0.1);
+            return classState.latencyPerUnit * Math.max(details.units(), MIN_LATENCY_UNITS);
         }
 
-        /** The first attempt not known never to have run, or null. */
+        /** The first attempt that may have run, or null. */
         Attempt firstPossibleRun() {
             return attempts.stream().filter(a -> !a.neverRan).findFirst().orElse(null);
         }
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -2,45 +2,55 @@
 
 import java.util.List;
 
-/** What the decision module is told and what it can do: settings, events and actions. No decision lives here. */
+/**
+ * The interface of the decision module ({@link DecisionModule}): its settings, the events that it receives and the
+ * actions that it takes. All times are in milliseconds.
+ */
 public final class Gateway {
     private Gateway() {}
 
-    /** What repeating a request of a class does. */
+    /** Whether a request of a class may be repeated after it may have run. */
     public enum Effect {
+        /** A repeat does no harm. */
         REPEATABLE,
+        /** Hosts drop a repeat by its idempotency key, within the key's scope and window. */
         KEYED,
+        /** A repeat runs the request a second time. */
         ONCE
     }
 
-    /** The hosts that drop repeats of one key. */
+    /** The hosts that share idempotency keys and so drop repeats of a request. */
     public enum KeyScope {
         ALL,
         ZONE,
         CELL;
 
-        /** True where both hosts drop repeats of the same keys. */
+        /** Returns whether one host drops repeats of requests that the other one ran. */
         public boolean dropsSameKeys(Host a, Host b) {
             return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
         }
     }
 
-    /** What discovery tells of a host. */
+    /** The state of a host as discovery reports it. */
     public enum HostState {
         RUNNING,
         DRAINING,
         GONE
     }
 
-    /** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
+    /** How a list of hosts is to be read. */
     public enum HostListKind {
+        /** The hosts that changed since the last list. */
         CHANGES,
+        /** All hosts. */
         FULL,
+        /** All hosts as they were known before a restart. */
         CACHED,
+        /** No list: the call to discovery failed. */
         FAILED
     }
 
-    /** How an attempt, a probe or a counter call ended. */
+    /** The outcome of an attempt, a probe or a counter call. */
     public enum Outcome {
         OK,
         ERROR,
@@ -49,29 +59,37 @@
         CONNECT_FAILED,
         RESET,
         CANCELLED,
+        /** It was never sent. */
         MOOT;
 
-        /** True where the outcome proves that the host never ran the request. */
+        /** Returns whether the outcome proves that the host never ran the request. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == MOOT;
         }
     }
 
-    /** Why a request is refused. */
+    /** The reason for the refusal of a request. */
     public enum Refusal {
-        /** No plan or class of the settings covers it. */
+        /** The settings have no such plan or class. */
         UNKNOWN,
-        /** The own part lacks its units, and the counter was not asked or gave no answer. */
+        /** This gateway's share of the quota lacks the units, and the counter was not asked or gave no answer. */
         PART,
-        /** The whole quota is known to lack them. */
+        /** The whole quota is known to lack the units. */
         QUOTA,
-        /** As many requests are open as the plan allows. */
+        /** The customer has as many open requests as its plan allows. */
         OPEN,
-        /** No host had a place for it while it was worth sending. */
+        /** No host had room for the request while it was worth sending. */
         PLACE
     }
 
-    /** What requests of one class may do, how long they may take and what they are worth. */
+    /**
+     * A class of requests.
+     *
+     * @param keyWindowMs how long hosts remember an idempotency key
+     * @param goalMs latency up to which an answer has its full worth
+     * @param worth worth of an answered unit
+     * @param lateValue share of the worth that remains once the goal is missed
+     */
     public record RequestClass(
             String name,
             Effect effect,
@@ -83,7 +101,18 @@
             double lateValue,
             boolean streaming) {}
 
-    /** A plan's quotas, for each customer over all gateways; a figure of 0 means that there is no such limit. */
+    /**
+     * A plan: the quota and the cap of each of its customers, over all gateways. A limit of 0 means that there is none.
+     *
+     * @param rate units a second of the quota
+     * @param burst units that the quota's bucket holds
+     * @param openLimit number of open requests
+     * @param valueFactor factor on the worth of a request class
+     * @param excessWorth worth of a unit served beyond the quota, relative to its worth inside the quota
+     * @param excessCost cost of a unit served beyond the quota, relative to its worth inside the quota
+     * @param capRate units a second of the cap, which is never exceeded
+     * @param capBurst units that the cap's bucket holds
+     */
     public record Plan(
             String name,
             double rate,
@@ -95,23 +124,23 @@
             double capRate,
             double capBurst,
             double capSlack) {
-        /** True where what is served beyond the quota earns as much as it costs. */
+        /** Returns whether a unit served beyond the quota earns at least what it costs. */
         public boolean excessPays() {
             return excessWorth > 0 && excessWorth >= excessCost;
         }
 
-        /** What a unit beyond the quota loses, in times of its worth. */
+        /** The loss by a unit served beyond the quota, relative to its worth inside the quota. */
         public double excessLossRatio() {
             return excessCost - excessWorth;
         }
 
-        /** The same, in times of the worth of the class alone. */
+        /** The same loss, relative to the worth of the request class. */
         public double weightedExcessLoss() {
             return valueFactor * excessLossRatio();
         }
     }
 
-    /** What a gateway may do for one request, and whether it may talk to others. */
+    /** What a gateway may do for a request, and whether gateways may exchange messages. */
     public record Limits(
             int maxAttempts,
             boolean mayDuplicate,
@@ -122,7 +151,13 @@
             double maxRetryAfterMs,
             double connectTimeoutMs) {}
 
-    /** The rules on drains, cold hosts and late answers; times in milliseconds. */
+    /**
+     * The rules on drains, cold hosts and late answers.
+     *
+     * @param fallMultiple load that a cold host may get, as a multiple of its capacity share
+     * @param coldFrom capacity of a host that has just started, as a share of a warm host's
+     * @param warmWithinMs time after its start at which a host is warm
+     */
     public record Rules(
             double answerSlackMs,
             double drainGraceMs,
@@ -132,7 +167,13 @@
             double warmWithinMs,
             double askWithinMs) {}
 
-    /** Where gateways may learn of each other, and what one costs. */
+    /**
+     * How gateways coordinate the quotas of a customer, and what each means costs.
+     *
+     * @param hasCounter whether there is a counter that all gateways share
+     * @param meterPeriodMs length of a metered period; 0 if there is no meter
+     * @param postPaid whether a request is charged for the units that it has actually used
+     */
     public record Coordination(
             boolean hasCounter,
             double counterCallPrice,
@@ -145,7 +186,12 @@
             double probePrice,
             double crossZonePrice) {}
 
-    /** All that a gateway is told at its start. */
+    /**
+     * The settings of a gateway, given once at its start.
+     *
+     * @param gatewayNumber number of this gateway, from 0 on
+     * @param subscribesToHosts whether the decision module subscribes to the host list itself
+     */
     public record Settings(
             long seed,
             int gatewayNumber,
@@ -159,11 +205,14 @@
             Rules rules,
             Coordination coordination) {}
 
-    /** A host as discovery tells of it. */
+    /** A host as discovery reports it; {@code startedMs} is 0 if the time of its start isn't known. */
     public record Host(
             String id, String zone, String kind, int cell, HostState state, double rating, double startedMs) {}
 
-    /** A request: {@code spread} gateways from number {@code first} on, counted round, may receive the customer. */
+    /**
+     * A request. The {@code spread} gateways from number {@code first} on, wrapping around at the last one, are the set
+     * that receives the customer's requests.
+     */
     public record Request(
             String id,
             double deadlineMs,
@@ -175,7 +224,13 @@
             int first,
             int spread) {}
 
-    /** How an attempt ended; {@code usedPct} is 0 and {@code trueUnits} is 0 where nothing was told. */
+    /**
+     * The result of an attempt.
+     *
+     * @param requestClosed whether no answer to the request is due any more: it was answered, or its client has left
+     * @param meterReading percentage of its quota that the customer used in a metered period, plus 1; 0 if none came
+     * @param actualUnits units that the request has actually used; 0 if they aren't known
+     */
     public record AttemptResult(
             String id,
             int attempt,
@@ -187,7 +242,7 @@
             double actualUnits,
             double[] loadMetrics) {}
 
-    /** What one process of a gateway knows of a customer, for one that serves beside or after it. */
+    /** What one process of a gateway knows of a customer, for a process that serves beside it or replaces it. */
     public record CustomerSnapshot(
             long customer,
             int plan,
@@ -203,7 +258,7 @@
             double meterAt,
             double total,
             double totalAt) {
-        /** The same with its times on a clock that is ahead by so many milliseconds. */
+        /** Returns the same snapshot with its times on a clock that is ahead by {@code ms}. */
         public CustomerSnapshot shifted(double ms) {
             return new CustomerSnapshot(
                     customer,
@@ -223,59 +278,78 @@
         }
     }
 
-    /** Everything that a gateway sees; {@code now} is the only clock, in milliseconds. */
+    /** The events of a gateway and the queries on its state; {@code now} is the only clock of the decision module. */
     public interface Events {
+        /** The gateway starts; this is the first event. */
         void start(double now, Settings settings);
 
+        /** Discovery has sent a list of hosts, or the call for it has failed. */
         void hostsUpdated(double now, HostListKind kind, List<Host> hosts);
 
+        /** A client's request has arrived. */
         void requestReceived(double now, Request request);
 
+        /** The answer of an attempt has begun to reach the client, so that the request can't be retried any more. */
         void streamStarted(double now, String id, int attempt);
 
+        /** An attempt has ended. */
         void attemptEnded(double now, AttemptResult result);
 
+        /** The client of a request has left before it was answered. */
         void clientDisconnected(double now, String id);
 
+        /** A timer that was started with this token has fired. */
         void timerFired(double now, String token);
 
+        /** A probe of a host has ended. */
         default void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
 
+        /** A message from another gateway has arrived. */
         void peerMessageReceived(double now, int sender, byte[] data);
 
+        /** A call to the counter has ended; {@code total} is the counter's value if the outcome is OK. */
         void counterCallEnded(double now, String counter, Outcome outcome, double total);
 
-        /** So many processes serve as this gateway, this one among them: they share what is its own. */
+        /** The number of processes of this gateway, including this one, has changed; they split the gateway's share. */
         void processCountChanged(double now, int processes);
 
-        /** What this process knows of its customers: a question, not an event. */
+        /** Returns what this process knows of its customers. This is a query and causes no action. */
         List<CustomerSnapshot> snapshotCustomers(double now);
 
-        /** What another process of this gateway knew; it stands for customers that this one has not seen. */
+        /** Restores what another process of this gateway knew of customers that this process hasn't seen. */
         void restoreCustomers(double now, List<CustomerSnapshot> memory);
 
-        /** How many hosts of the list get no request as long as others may be had: a question, not an event. */
+        /** Returns how many listed hosts get no request as long as others are available. This is a query. */
         int avoidedHostCount(double now);
     }
 
-    /** Everything that a gateway can do. */
+    /** The actions of a gateway. */
     public interface Actions {
+        /** Sends a new attempt of a request to a host; a timeout of 0 means that the attempt has none. */
         void send(String id, String host, double timeoutMs);
 
+        /** Cancels an attempt, given by its number within the request, from 0 on. */
         void cancel(String id, int attempt);
 
+        /** Refuses a request; a retry delay of 0 means that none is advised. */
         void refuse(String id, double retryAfterMs, Refusal why);
 
+        /** Answers a request with an error: it may have run, so a retry may do harm. */
         void fail(String id);
 
+        /** Starts a timer that fires once with this token. */
         void startTimer(double delayMs, String token);
 
+        /** Sends a health check to a host. */
         void probeHost(String host);
 
+        /** Sends a message to another gateway, given by its number; it may be lost. */
         void sendPeerMessage(int peer, byte[] data);
 
+        /** Adds an amount to a named counter and asks for its total; the counter starts anew after its lifetime. */
         void addToCounter(String counter, double amount, double lifetimeMs);
 
+        /** Subscribes to the host list. */
         void subscribeHosts();
     }
 }
