--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -200,7 +200,7 @@
     private static final double CONCURRENCY_INTERVAL_MS = 250;
 
     /** Answers needed for an adjustment; with fewer, it waits for this many intervals. */
-    private static final int CONCURRENCY_MIN_ANSWERS = 8;
+    private static final int CONCURRENCY_MIN_RESPONSES = 8;
 
     /** Growth of the latency baseline at each adjustment, so that a lasting change becomes the new baseline. */
     private static final double BASELINE_DRIFT = 1.002;
@@ -369,7 +369,7 @@
 
     private final ExcessEstimate excessEstimate = new ExcessEstimate();
     private double admissionMargin = MARGIN_START;
-    private double counterAnsweredAt = DecisionState.NEVER;
+    private double counterRepliedAt = DecisionState.NEVER;
     private double meanWorth;
 
     /** Messages that may leave now, as a token bucket. */
@@ -383,7 +383,7 @@
     private int attemptsInFlight;
 
     /** Answers since the last adjustment of the concurrency limit; the three sums below cover the same answers. */
-    private int answerCount;
+    private int responseCount;
 
     private double latencySum;
     private double baselineSum;
@@ -771,7 +771,7 @@
 
     /** The expected cost of admitting a request without a call, relative to its worth and scaled by the margin. */
     private double expectedExcessCost(double now, RequestState request) {
-        boolean marginApplies = now - counterAnsweredAt < STALE_LEVEL_MS;
+        boolean marginApplies = now - counterRepliedAt < STALE_LEVEL_MS;
         return (marginApplies ? admissionMargin : 1)
                 * request.customer.plan.excessLossRatio()
                 * (1 - roomChance(request));
@@ -958,14 +958,14 @@
         customer.callInFlight = false;
         boolean succeeded = outcome == Outcome.OK;
         callBudget.recordAnswer(now, now - customer.counterCalledAt, succeeded);
-        if (succeeded) counterAnsweredAt = now;
+        if (succeeded) counterRepliedAt = now;
         if (succeeded && hasWideSet(customer)) applyWindowTotal(now, customer, total);
         else if (succeeded) applyCounterTotal(now, customer, total);
         if (outcome.neverRan()) customer.unreportedUnits += customer.callUnits - customer.expiredUnitsInCall;
         if (!succeeded) customer.expiredUnitsInCall = 0; // the next answer shows whether it is still needed
-        List<RequestState> answeredRequests = customer.callRequests;
+        List<RequestState> decidedRequests = customer.callRequests;
         customer.callRequests = List.of();
-        for (RequestState request : answeredRequests) decideAfterCounterCall(now, request, succeeded);
+        for (RequestState request : decidedRequests) decideAfterCounterCall(now, request, succeeded);
         while (!succeeded && !customer.pending.isEmpty()) {
             RequestState next = customer.pending.poll();
             admitOrRefuse(now, next, hasWideSet(customer) && isAdmissionWorthwhile(now, next));
@@ -1459,21 +1459,21 @@
     private void adjustConcurrency(double now) {
         if (now - concurrencyAdjustedAt < CONCURRENCY_INTERVAL_MS) return;
         // Few answers show nothing: even on idle hosts one answer in five takes twice its expected time.
-        if (answerCount > 0
-                && answerCount < CONCURRENCY_MIN_ANSWERS
-                && now - concurrencyAdjustedAt < CONCURRENCY_MIN_ANSWERS * CONCURRENCY_INTERVAL_MS) return;
+        if (responseCount > 0
+                && responseCount < CONCURRENCY_MIN_RESPONSES
+                && now - concurrencyAdjustedAt < CONCURRENCY_MIN_RESPONSES * CONCURRENCY_INTERVAL_MS) return;
         concurrencyAdjustedAt = now;
-        if (answerCount > 0) {
+        if (responseCount > 0) {
             boolean queueing = latencySum > QUEUEING_LATENCY_RATIO * baselineSum
-                            && goalShareSum > HARMLESS_GOAL_SHARE * answerCount
-                    || goalShareSum > QUEUEING_GOAL_SHARE * answerCount;
+                            && goalShareSum > HARMLESS_GOAL_SHARE * responseCount
+                    || goalShareSum > QUEUEING_GOAL_SHARE * responseCount;
             if (queueing)
                 concurrencyPerHost = Math.max(MIN_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_DECREASE);
             else if (requestsWaited)
                 concurrencyPerHost = Math.min(MAX_CONCURRENCY_PER_HOST, concurrencyPerHost * CONCURRENCY_INCREASE);
         }
         latencySum = baselineSum = goalShareSum = 0;
-        answerCount = 0;
+        responseCount = 0;
         classes.values().forEach(classState -> classState.updateBaseline(BASELINE_MIN_SAMPLES, BASELINE_DRIFT));
     }
 
@@ -1685,7 +1685,8 @@
             case OK -> {
                 host.health.observe(now, result.latencyMs() / Math.max(1, attempt.expectedMs), LATENCY_GAIN);
                 host.classHealth(classState).observe(now, 1, FAILURE_GAIN);
-                double perUnit = result.latencyMs() / Math.max(DecisionState.MIN_LATENCY_UNITS, request.details.units());
+                double perUnit =
+                        result.latencyMs() / Math.max(DecisionState.MIN_LATENCY_UNITS, request.details.units());
                 classState.samples++;
                 classState.latencyPerUnit += Math.max(MIN_LATENCY_MEAN_GAIN, 1.0 / classState.samples)
                         * (perUnit - classState.latencyPerUnit);
@@ -1706,7 +1707,7 @@
             latencySum += result.latencyMs(); // a timeout counts as an answer of at least that latency
             baselineSum += classState.baselineLatency * request.details.units();
             goalShareSum += result.latencyMs() / classState.spec.goalMs();
-            answerCount++;
+            responseCount++;
         }
         if (request.customer != null) applyMeterReading(now, request.customer, result.meterReading());
     }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -240,7 +240,7 @@
         /** Units that the call in flight adds for its requests and for those that they represent. */
         double callRequestUnits() {
             return callRequests.stream()
-                    .mapToDouble(a -> a.requestedUnits + a.sampledUnits)
+                    .mapToDouble(request -> request.requestedUnits + request.sampledUnits)
                     .sum();
         }
 
@@ -283,17 +283,17 @@
         }
 
         /** Restores a snapshot taken by another process; tokens are split evenly among the gateway's processes. */
-        void restore(Gateway.CustomerSnapshot remembered, int processes) {
-            ownTokens = remembered.tokens() / processes;
-            quotaLevel = remembered.level();
-            spareUnits = remembered.spare() / processes;
-            meterTotal = remembered.meterTotal();
-            meterOwn = remembered.meterOwn();
-            meterSeconds = remembered.meterSeconds();
-            meterShare = remembered.meterPart();
-            meterAt = remembered.meterAt() > 0 ? remembered.meterAt() : NEVER;
-            counterTotal = remembered.total();
-            counterTotalAt = remembered.totalAt() > 0 ? remembered.totalAt() : NEVER;
+        void restore(Gateway.CustomerSnapshot snapshot, int processes) {
+            ownTokens = snapshot.tokens() / processes;
+            quotaLevel = snapshot.level();
+            spareUnits = snapshot.spare() / processes;
+            meterTotal = snapshot.meterTotal();
+            meterOwn = snapshot.meterOwn();
+            meterSeconds = snapshot.meterSeconds();
+            meterShare = snapshot.meterPart();
+            meterAt = snapshot.meterAt() > 0 ? snapshot.meterAt() : NEVER;
+            counterTotal = snapshot.total();
+            counterTotalAt = snapshot.totalAt() > 0 ? snapshot.totalAt() : NEVER;
         }
 
         /** Counts a request that is admitted. */
@@ -317,7 +317,9 @@
 
         /** Units of the requests that wait for a decision. */
         double pendingUnits() {
-            return pending.stream().mapToDouble(a -> a.details.units()).sum();
+            return pending.stream()
+                    .mapToDouble(request -> request.details.units())
+                    .sum();
         }
     }
 
@@ -349,10 +351,10 @@
         /** The units used between two times, to the precision of a slot; use that has left the buffer counts as 0. */
         double usedBetween(double from, double to) {
             double sum = 0;
-            for (long s = Math.max(slotNumber(from), newestSlot - slots.length + 1);
-                    s < slotNumber(to) && s <= newestSlot;
-                    s++) {
-                sum += slots[slotIndex(s)];
+            for (long slot = Math.max(slotNumber(from), newestSlot - slots.length + 1);
+                    slot < slotNumber(to) && slot <= newestSlot;
+                    slot++) {
+                sum += slots[slotIndex(slot)];
             }
             return Math.max(0, sum);
         }
@@ -504,11 +506,14 @@
 
         /** The first attempt that may have run, or null. */
         Attempt firstPossibleRun() {
-            return attempts.stream().filter(a -> !a.neverRan).findFirst().orElse(null);
+            return attempts.stream()
+                    .filter(attempt -> !attempt.neverRan)
+                    .findFirst()
+                    .orElse(null);
         }
 
         boolean hasAttemptInFlight() {
-            return attempts.stream().anyMatch(a -> a.inFlight);
+            return attempts.stream().anyMatch(attempt -> attempt.inFlight);
         }
     }
 }
