--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -45,7 +45,7 @@
  * <p>Comments refer to these rules by number:
  *
  * <ol>
- *   <li>Each request gets exactly one answer, before its deadline.
+ *   <li>Each request gets exactly one response, before its deadline.
  *   <li>A request that may have run is repeated only where a repeat does no harm.
  *   <li>A host that drains or has gone gets no new requests.
  *   <li>A cold host gets no more than its allowance from all gateways together.
@@ -67,7 +67,7 @@
     /** Period of the removal of idle customers and of hosts that left the list. */
     private static final double SWEEP_INTERVAL_MS = 5000;
 
-    /** A customer idle for this long is forgotten: its token bucket is full again. */
+    /** A customer that is idle for this long is evicted: its token bucket is full again. */
     private static final double IDLE_EXPIRY_MS = 60_000;
 
     // ---- constants: admission by a gateway's own share of a quota
@@ -112,7 +112,7 @@
     /** Chance of room from which a called-for request's own units are added before it is admitted. */
     private static final double LIKELY_ROOM_CHANCE = 0.5;
 
-    /** Lifetime of an answer as evidence, in multiples of the time in which the quota refills one burst. */
+    /** Lifetime of a counter result or meter reading as evidence, in multiples of the time in which the quota refills one burst. */
     private static final double EVIDENCE_BURSTS = 2;
 
     /** Upper limit of the expected cost of excess, as a share of the admitted worth. */
@@ -173,7 +173,7 @@
     /** Lifetime of a counter name. */
     private static final double COUNTER_LIFETIME_MS = 60_000;
 
-    /** Time that a request must have left before its deadline to wait for the counter's answer. */
+    /** Time that a request must have left before its deadline to wait for the counter's result. */
     private static final double COUNTER_CALL_ALLOWANCE_MS = 150;
 
     // ---- constants: release of queued requests
@@ -190,7 +190,7 @@
     /** Largest concurrency limit of a host, over all gateways; beyond it no host gains throughput. */
     private static final double MAX_CONCURRENCY_PER_HOST = 128;
 
-    /** Growth of the limit at each adjustment, while requests wait and hosts answer fast. */
+    /** Growth of the limit at each adjustment, while requests wait and hosts respond fast. */
     private static final double CONCURRENCY_INCREASE = 1.15;
 
     /** Cut of the limit at each adjustment, while latency shows queueing at the hosts. */
@@ -199,16 +199,16 @@
     /** Interval between two adjustments of the limit. */
     private static final double CONCURRENCY_INTERVAL_MS = 250;
 
-    /** Answers needed for an adjustment; with fewer, it waits for this many intervals. */
+    /** Responses needed for an adjustment; with fewer, it waits for this many intervals. */
     private static final int CONCURRENCY_MIN_RESPONSES = 8;
 
     /** Growth of the latency baseline at each adjustment, so that a lasting change becomes the new baseline. */
     private static final double BASELINE_DRIFT = 1.002;
 
-    /** Smallest weight of one answer in the mean latency of a class. */
+    /** Smallest weight of one response in the mean latency of a class. */
     private static final double MIN_LATENCY_MEAN_GAIN = 0.03;
 
-    /** Answers after which the latency baseline no longer follows the average upwards. */
+    /** Responses after which the latency baseline no longer follows the average upwards. */
     private static final int BASELINE_MIN_SAMPLES = 20;
 
     /** Ratio of latency to its baseline above which hosts are taken to queue. */
@@ -232,7 +232,7 @@
     /** Weight of one release in the mean gap between releases. */
     private static final double RELEASE_GAP_GAIN = 0.1;
 
-    /** Expected time of the largest request before the first answer, as a share of the latency goal. */
+    /** Expected time of the largest request before the first response, as a share of the latency goal. */
     private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
 
     /** Queued requests of a class examined in one turn when the ones ahead have no permitted host. */
@@ -272,7 +272,7 @@
 
     // ---- constants: hosts
 
-    /** Weight of one answer's latency in a host's slowness. */
+    /** Weight of one response's latency in a host's slowness. */
     private static final double LATENCY_GAIN = 0.12;
 
     /** Weight of a failure, or of an overdue attempt, in the slowness of a host. */
@@ -382,7 +382,7 @@
 
     private int attemptsInFlight;
 
-    /** Answers since the last adjustment of the concurrency limit; the three sums below cover the same answers. */
+    /** Responses since the last adjustment of the concurrency limit; the three sums below cover the same ones. */
     private int responseCount;
 
     private double latencySum;
@@ -790,12 +790,12 @@
         admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * factor));
     }
 
-    /** The time for which an answer of the counter or the meter counts as evidence. */
+    /** The time for which a counter result or a meter reading counts as evidence. */
     private static double evidenceLifetimeMs(Plan plan) {
         return EVIDENCE_BURSTS * 1000 * plan.burst() / plan.rate();
     }
 
-    /** What is known of a request's customer without a call: the last answers of the counter and of the meter. */
+    /** What is known of a request's customer without a call: the last counter result and meter reading. */
     private int evidence(double now, RequestState request) {
         CustomerState customer = request.customer;
         double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
@@ -930,7 +930,7 @@
                 && !customer.plan.excessPays();
     }
 
-    /** Holds a request that the own share has no room for until the counter has answered. */
+    /** Holds a request that the own share has no room for until the counter call has ended. */
     private void askCounter(double now, RequestState request) {
         CustomerState customer = request.customer;
         if (now + COUNTER_CALL_ALLOWANCE_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
@@ -962,7 +962,7 @@
         if (succeeded && hasWideSet(customer)) applyWindowTotal(now, customer, total);
         else if (succeeded) applyCounterTotal(now, customer, total);
         if (outcome.neverRan()) customer.unreportedUnits += customer.callUnits - customer.expiredUnitsInCall;
-        if (!succeeded) customer.expiredUnitsInCall = 0; // the next answer shows whether it is still needed
+        if (!succeeded) customer.expiredUnitsInCall = 0; // the next result shows whether it is still needed
         List<RequestState> decidedRequests = customer.callRequests;
         customer.callRequests = List.of();
         for (RequestState request : decidedRequests) decideAfterCounterCall(now, request, succeeded);
@@ -1028,7 +1028,7 @@
     /**
      * Applies the total of a window. The quota held a burst when the window began; it now holds that and what has been
      * refilled since, less the total, and at most a burst: quota that stays unused expires. Once a burst or more has
-     * expired, one call adds it to the total. Where two gateways do so at once, the second sees from its answer that
+     * expired, one call adds it to the total. Where two gateways do so at once, the second sees from its result that
      * its correction wasn't needed and takes it back.
      */
     private void applyWindowTotal(double now, CustomerState customer, double total) {
@@ -1398,7 +1398,7 @@
         actions.send(request.details.id(), host.info.id(), 0);
     }
 
-    /** The time by which a queued request must be sent or answered here: rule 1, and no work for late answers. */
+    /** The time by which a queued request must be sent or refused: rule 1, and no work for late responses. */
     private double holdDeadline(RequestState request) {
         double deadline = request.details.deadlineMs() - DEADLINE_MARGIN_MS;
         if (request.firstPossibleRun() != null) return deadline;
@@ -1435,7 +1435,7 @@
         else actions.fail(request.details.id());
     }
 
-    /** Closes a request: no answer to it is due any more. Returns its units if it was never sent. */
+    /** Closes a request: its client waits for no response any more. Returns its units if it was never sent. */
     private void closeRequest(double now, RequestState request) {
         if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
         if (request.closed) return;
@@ -1455,10 +1455,10 @@
         }
     }
 
-    /** Adjusts the concurrency limit by the latency of the answers since the last adjustment. */
+    /** Adjusts the concurrency limit by the latency of the responses since the last adjustment. */
     private void adjustConcurrency(double now) {
         if (now - concurrencyAdjustedAt < CONCURRENCY_INTERVAL_MS) return;
-        // Few answers show nothing: even on idle hosts one answer in five takes twice its expected time.
+        // Few responses show nothing: even on idle hosts one response in five takes twice its expected time.
         if (responseCount > 0
                 && responseCount < CONCURRENCY_MIN_RESPONSES
                 && now - concurrencyAdjustedAt < CONCURRENCY_MIN_RESPONSES * CONCURRENCY_INTERVAL_MS) return;
@@ -1570,7 +1570,7 @@
             warmCapacity +=
                     host.health.slowness(now) < FULL_HOST_SLOWNESS ? host.capacityShare(now, settings.rules()) : 0;
         }
-        // Each gateway uses a subset of the hosts, rotated by its number: it gets more answers and warm connections
+        // Each gateway uses a subset of the hosts, rotated by its number: it gets more responses and warm connections
         // from each, and the hosts' connection tables don't fill up where there are hundreds of gateways.
         eligibleHosts.sort(Comparator.comparing(host -> host.info.id().hashCode()));
         subset.clear();
@@ -1704,7 +1704,7 @@
             default -> {}
         }
         if (result.outcome() == Outcome.OK || result.outcome() == Outcome.TIMEOUT) {
-            latencySum += result.latencyMs(); // a timeout counts as an answer of at least that latency
+            latencySum += result.latencyMs(); // a timeout counts as a response of at least that latency
             baselineSum += classState.baselineLatency * request.details.units();
             goalShareSum += result.latencyMs() / classState.spec.goalMs();
             responseCount++;
@@ -1731,7 +1731,7 @@
         }
     }
 
-    /** Forgets idle customers and the hosts that left the list. */
+    /** Evicts idle customers and the hosts that left the list. */
     private void evictIdle(double now) {
         if (now - sweptAt < SWEEP_INTERVAL_MS) return;
         sweptAt = now;
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -72,8 +72,8 @@
         }
 
         /**
-         * Adds to the delay of the current interval. It is called with the time in the queue when a request leaves it, which
-         * counts the request, and with the latency when its answer arrives.
+         * Adds to the delay of the current interval. It is called with the time in the queue when a request leaves it,
+         * which counts the request, and with the latency when its response arrives.
          */
         void recordDelay(double holdMs, double latencyMs) {
             intervalDelaySum += holdMs + latencyMs;
@@ -158,7 +158,7 @@
         int othersOpenRequests;
         double usedUnits;
         double unsentUnits; // cap units of admitted requests that are not sent yet
-        double sharedLevelAt = NEVER; // when an owner or the counter last told the level
+        double sharedLevelAt = NEVER; // when an owner or the counter last reported the level
         double ownerNotifiedAt = NEVER;
         boolean informed; // as an owner: knows the use before its start
         final UsageHistory usageHistory = new UsageHistory();
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -72,7 +72,7 @@
     public enum Refusal {
         /** The settings have no such plan or class. */
         UNKNOWN,
-        /** This gateway's share of the quota lacks the units, and the counter was not asked or gave no answer. */
+        /** This gateway's share of the quota lacks the units, and the counter was not called or gave no result. */
         PART,
         /** The whole quota is known to lack the units. */
         QUOTA,
@@ -86,8 +86,8 @@
      * A class of requests.
      *
      * @param keyWindowMs how long hosts remember an idempotency key
-     * @param goalMs latency up to which an answer has its full worth
-     * @param worth worth of an answered unit
+     * @param goalMs latency up to which a response has its full worth
+     * @param worth worth of a served unit
      * @param lateValue share of the worth that remains once the goal is missed
      */
     public record RequestClass(
@@ -152,7 +152,7 @@
             double connectTimeoutMs) {}
 
     /**
-     * The rules on drains, cold hosts and late answers.
+     * The rules on drains, cold hosts and late responses.
      *
      * @param fallMultiple load that a cold host may get, as a multiple of its capacity share
      * @param coldFrom capacity of a host that has just started, as a share of a warm host's
@@ -227,7 +227,7 @@
     /**
      * The result of an attempt.
      *
-     * @param requestClosed whether no answer to the request is due any more: it was answered, or its client has left
+     * @param requestClosed whether the client waits for no response any more: it has got one, or it has left
      * @param meterReading percentage of its quota that the customer used in a metered period, plus 1; 0 if none came
      * @param actualUnits units that the request has actually used; 0 if they aren't known
      */
@@ -289,13 +289,13 @@
         /** A client's request has arrived. */
         void requestReceived(double now, Request request);
 
-        /** The answer of an attempt has begun to reach the client, so that the request can't be retried any more. */
+        /** The response of an attempt has begun to reach the client, so that the request can't be retried any more. */
         void streamStarted(double now, String id, int attempt);
 
         /** An attempt has ended. */
         void attemptEnded(double now, AttemptResult result);
 
-        /** The client of a request has left before it was answered. */
+        /** The client of a request has left before the response. */
         void clientDisconnected(double now, String id);
 
         /** A timer that was started with this token has fired. */
@@ -334,7 +334,7 @@
         /** Refuses a request; a retry delay of 0 means that none is advised. */
         void refuse(String id, double retryAfterMs, Refusal why);
 
-        /** Answers a request with an error: it may have run, so a retry may do harm. */
+        /** Responds to a request with an error: it may have run, so a retry may do harm. */
         void fail(String id);
 
         /** Starts a timer that fires once with this token. */
