--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -7,7 +7,7 @@
 import deckfall.Gateway.Settings;
 import deckfall.wire.Fields;
 import deckfall.wire.SettingsReader;
-import deckfall.wire.WireFault;
+import deckfall.wire.WireFormatException;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -84,7 +84,7 @@
         } catch (IOException e) {
             throw new BadConfig("can't read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
-        } catch (WireFault | IllegalArgumentException e) {
+        } catch (WireFormatException | IllegalArgumentException e) {
             throw new BadConfig(file + ": " + e.getMessage());
         }
     }
--- a/src/main/java/deckfall/wire/Fields.java
+++ b/src/main/java/deckfall/wire/Fields.java
@@ -20,7 +20,7 @@
             int end = space < 0 ? text.length() : space;
             int equals = text.indexOf('=', at);
             if (equals <= at || equals >= end) {
-                throw new WireFault("not a name=value pair: '" + text.substring(at, end) + "'");
+                throw new WireFormatException("not a name=value pair: '" + text.substring(at, end) + "'");
             }
             values.put(text.substring(at, equals), text.substring(equals + 1, end));
             at = end + 1;
@@ -30,7 +30,7 @@
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new WireFault("missing field '" + name + "'");
+            throw new WireFormatException("missing field '" + name + "'");
         }
         return value;
     }
@@ -42,7 +42,7 @@
     String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
-            throw new WireFault("empty field '" + name + "'");
+            throw new WireFormatException("empty field '" + name + "'");
         }
         return value;
     }
@@ -61,7 +61,7 @@
         } catch (NumberFormatException e) {
             // reported below with the field's name
         }
-        throw new WireFault("bad number in '" + name + "': '" + value + "'");
+        throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
     }
 
     public double number(String name, double absent) {
@@ -73,7 +73,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFault("bad whole number in '" + name + "': '" + value + "'");
+            throw new WireFormatException("bad whole number in '" + name + "': '" + value + "'");
         }
     }
 
@@ -85,7 +85,7 @@
     int count(String name) {
         long value = whole(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new WireFault("number out of range in '" + name + "': '" + value + "'");
+            throw new WireFormatException("number out of range in '" + name + "': '" + value + "'");
         }
         return (int) value;
     }
@@ -102,7 +102,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new WireFault("bad truth value in '" + name + "': '" + value + "'");
+            default -> throw new WireFormatException("bad truth value in '" + name + "': '" + value + "'");
         };
     }
 
@@ -118,7 +118,7 @@
             try {
                 row[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
-                throw new WireFault("bad number in '" + name + "': '" + value + "'");
+                throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
             }
         }
         return row;
@@ -132,7 +132,7 @@
         try {
             return java.util.HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new WireFault("bad bytes in '" + name + "': '" + value + "'");
+            throw new WireFormatException("bad bytes in '" + name + "': '" + value + "'");
         }
     }
 }
--- a/src/main/java/deckfall/wire/Main.java
+++ b/src/main/java/deckfall/wire/Main.java
@@ -22,8 +22,8 @@
         BufferedWriter out = new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER);
         try {
             new WireHost(in, out).run();
-        } catch (WireFault fault) {
-            System.err.println(fault.getMessage());
+        } catch (WireFormatException exception) {
+            System.err.println(exception.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/deckfall/wire/SettingsReader.java
+++ b/src/main/java/deckfall/wire/SettingsReader.java
@@ -104,7 +104,7 @@
             case "repeatable" -> Effect.REPEATABLE;
             case "by_key" -> Effect.KEYED;
             case "once" -> Effect.ONCE;
-            default -> throw new WireFault("unknown effect '" + word + "'");
+            default -> throw new WireFormatException("unknown effect '" + word + "'");
         };
     }
 
@@ -113,7 +113,7 @@
             case "all" -> KeyScope.ALL;
             case "zone" -> KeyScope.ZONE;
             case "cell" -> KeyScope.CELL;
-            default -> throw new WireFault("unknown key scope '" + word + "'");
+            default -> throw new WireFormatException("unknown key scope '" + word + "'");
         };
     }
 }
--- a/src/main/java/deckfall/wire/WireFault.java
+++ b/src/main/java/deckfall/wire/WireFormatException.java
@@ -1,10 +1,10 @@
 package deckfall.wire;
 
 /** A line that cannot be read; the message tells what is wrong with it. */
-public final class WireFault extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFault(String message) {
+    WireFormatException(String message) {
         super(message);
     }
 }
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -40,8 +40,8 @@
                 }
                 batch();
             }
-        } catch (WireFault fault) {
-            throw new WireFault("line " + lineNumber + ": " + fault.getMessage());
+        } catch (WireFormatException exception) {
+            throw new WireFormatException("line " + lineNumber + ": " + exception.getMessage());
         }
     }
 
@@ -63,7 +63,7 @@
 
     private void batch() throws IOException {
         if (!nameOf(line).equals("BEGIN_BATCH")) {
-            throw new WireFault("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
+            throw new WireFormatException("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
         }
         Fields head = fields();
         double now = head.number("moment_ms");
@@ -73,7 +73,7 @@
         long target = Long.MIN_VALUE;
         while (true) {
             if (!next()) {
-                throw new WireFault("input ended inside a batch");
+                throw new WireFormatException("input ended inside a batch");
             }
             String name = nameOf(line);
             if (name.equals("COMMIT")) {
@@ -94,7 +94,7 @@
 
     private void event(double now, long target, String name) {
         if (target == Long.MIN_VALUE) {
-            throw new WireFault("'" + name + "' before any TARGET_INSTANCE");
+            throw new WireFormatException("'" + name + "' before any TARGET_INSTANCE");
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
@@ -109,7 +109,7 @@
         }
         DecisionModule brain = brains.get(target);
         if (brain == null) {
-            throw new WireFault("'" + name + "' for an instance that was not started: " + target);
+            throw new WireFormatException("'" + name + "' for an instance that was not started: " + target);
         }
         tell(now, brain, name, f);
     }
@@ -157,7 +157,7 @@
             case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
             case "COUNTED" ->
                 brain.counterCallEnded(now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
-            default -> throw new WireFault("unknown message '" + name + "'");
+            default -> throw new WireFormatException("unknown message '" + name + "'");
         }
     }
 
@@ -168,14 +168,14 @@
             case "F" -> HostListKind.FULL;
             case "C" -> HostListKind.CACHED;
             case "X" -> HostListKind.FAILED;
-            default -> throw new WireFault("unknown list kind '" + how + "'");
+            default -> throw new WireFormatException("unknown list kind '" + how + "'");
         };
         List<Host> hosts = List.of();
         if (kind != HostListKind.FAILED) {
             int page = f.count("page");
             hosts = catalogs.get(page);
             if (hosts == null) {
-                throw new WireFault("no CATALOG with page " + page);
+                throw new WireFormatException("no CATALOG with page " + page);
             }
         }
         brain.hostsUpdated(now, kind, hosts);
@@ -187,7 +187,7 @@
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             if (!next() || !nameOf(line).equals("HOST")) {
-                throw new WireFault("expected " + members + " HOST lines, found " + i);
+                throw new WireFormatException("expected " + members + " HOST lines, found " + i);
             }
             Fields h = fields();
             hosts.add(new Host(
@@ -207,7 +207,7 @@
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
             case "Deleted" -> HostState.GONE;
-            default -> throw new WireFault("unknown host mode '" + word + "'");
+            default -> throw new WireFormatException("unknown host mode '" + word + "'");
         };
     }
 
@@ -221,7 +221,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.MOOT;
-            default -> throw new WireFault("unknown reason '" + word + "'");
+            default -> throw new WireFormatException("unknown reason '" + word + "'");
         };
     }
 }
--- a/src/test/java/deckfall/wire/WireHostTest.java
+++ b/src/test/java/deckfall/wire/WireHostTest.java
@@ -78,8 +78,8 @@
             {"BEGIN_BATCH moment_ms=1 turn=1\n", "line 2: input ended inside a batch"},
         };
         for (String[] c : cases) {
-            WireFault fault = assertThrows(WireFault.class, () -> run(c[0]), c[1]);
-            assertEquals(c[1], fault.getMessage());
+            WireFormatException exception = assertThrows(WireFormatException.class, () -> run(c[0]), c[1]);
+            assertEquals(c[1], exception.getMessage());
         }
     }
 }
