--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -9,7 +9,7 @@
  * {@code soak} real gateways under faults. Only the command that is asked for loads its classes.
  */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
@@ -27,7 +27,7 @@
             case "wirehost" -> deckfall.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost | scale | soak");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
     }
--- a/src/main/java/deckfall/wire/Main.java
+++ b/src/main/java/deckfall/wire/Main.java
@@ -9,7 +9,7 @@
 
 /** The command line: {@code wirehost} answers the simulator's wire on standard input and output. */
 public final class Main {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() {}
 
@@ -18,8 +18,9 @@
             System.err.println("usage: deckfall wirehost");
             System.exit(2);
         }
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER);
-        BufferedWriter out = new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER);
+        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_BYTES);
+        BufferedWriter out =
+                new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER_BYTES);
         try {
             new WireHost(in, out).run();
         } catch (WireFormatException exception) {
