--- a/src/main/java/deckfall/wire/Fields.java
+++ b/src/main/java/deckfall/wire/Fields.java
@@ -14,16 +14,16 @@
 
     /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
     Fields(String text) {
-        int at = 0;
-        while (at < text.length()) {
-            int space = text.indexOf(' ', at);
+        int start = 0;
+        while (start < text.length()) {
+            int space = text.indexOf(' ', start);
             int end = space < 0 ? text.length() : space;
-            int equals = text.indexOf('=', at);
-            if (equals <= at || equals >= end) {
-                throw new WireFormatException("not a name=value pair: '" + text.substring(at, end) + "'");
+            int equals = text.indexOf('=', start);
+            if (equals <= start || equals >= end) {
+                throw new WireFormatException("not a name=value pair: '" + text.substring(start, end) + "'");
             }
-            values.put(text.substring(at, equals), text.substring(equals + 1, end));
-            at = end + 1;
+            values.put(text.substring(start, equals), text.substring(equals + 1, end));
+            start = end + 1;
         }
     }
 
@@ -47,8 +47,8 @@
         return value;
     }
 
-    String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     double number(String name) {
@@ -64,11 +64,11 @@
         throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    long whole(String name) {
+    long longNumber(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
@@ -77,27 +77,27 @@
         }
     }
 
-    long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    long longNumber(String name, long defaultValue) {
+        return has(name) ? longNumber(name) : defaultValue;
     }
 
     /** A whole number that fits an int. */
-    int count(String name) {
-        long value = whole(name);
+    int intNumber(String name) {
+        long value = longNumber(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
             throw new WireFormatException("number out of range in '" + name + "': '" + value + "'");
         }
         return (int) value;
     }
 
-    int count(String name, int absent) {
-        return has(name) ? count(name) : absent;
+    int intNumber(String name, int defaultValue) {
+        return has(name) ? intNumber(name) : defaultValue;
     }
 
-    boolean flag(String name, boolean absent) {
+    boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         return switch (value) {
             case "1", "true" -> true;
@@ -107,21 +107,21 @@
     }
 
     /** Numbers set apart by commas; none where the field is absent or empty. */
-    double[] row(String name) {
+    double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals("-")) {
             return new double[0];
         }
         String[] parts = value.split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
             try {
-                row[i] = Double.parseDouble(parts[i]);
+                numbers[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
                 throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
             }
         }
-        return row;
+        return numbers;
     }
 
     byte[] bytes(String name) {
--- a/src/main/java/deckfall/wire/SettingsReader.java
+++ b/src/main/java/deckfall/wire/SettingsReader.java
@@ -13,107 +13,107 @@
 
 /** Translates the pairs of a start message; absent keys mean that the thing they speak of is not there. */
 public final class SettingsReader {
-    private static final double CONNECT_MS = 250;
-    private static final double COUNTER_MS = 50;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final double DEFAULT_COUNTER_TIMEOUT_MS = 50;
 
     private SettingsReader() {}
 
-    public static Settings read(Fields f) {
+    public static Settings read(Fields fields) {
         Limits limits = new Limits(
-                f.count("limits.max_attempts", 1),
-                f.flag("limits.may_duplicate", false),
-                f.flag("limits.cancel", false),
-                f.flag("limits.probes", false),
-                f.flag("limits.peer_messages", false),
-                f.flag("limits.retry_after", false),
-                f.number("limits.max_retry_after_ms", 0),
-                f.number("limits.connect_timeout_ms", CONNECT_MS));
+                fields.intNumber("limits.max_attempts", 1),
+                fields.flag("limits.may_duplicate", false),
+                fields.flag("limits.cancel", false),
+                fields.flag("limits.probes", false),
+                fields.flag("limits.peer_messages", false),
+                fields.flag("limits.retry_after", false),
+                fields.number("limits.max_retry_after_ms", 0),
+                fields.number("limits.connect_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS));
         Rules rules = new Rules(
-                f.number("rules.answer_slack_ms", 0),
-                f.number("rules.drain_grace_ms", 0),
-                f.number("rules.fall_multiple", 1),
-                f.number("rules.fall_ms", 0),
-                f.number("rules.cold_from", 0),
-                f.number("rules.warm_within_ms", 0),
-                f.number("rules.ask_within_ms", 0));
-        Coordination sharing = new Coordination(
-                f.flag("specifics.counter", false),
-                f.number("specifics.counter_price", 0),
-                f.number("specifics.counter_timeout_ms", COUNTER_MS),
-                f.number("specifics.meter_period_ms", 0),
-                f.flag("specifics.post_paid", false),
-                f.number("specifics.max_units", 1),
-                f.number("specifics.mail_per_s", 0),
-                f.number("costs.peer", 0),
-                f.number("costs.probe", 0),
-                f.number("costs.cross_zone", 0));
-        String names = f.text("telemetry.names", "");
+                fields.number("rules.answer_slack_ms", 0),
+                fields.number("rules.drain_grace_ms", 0),
+                fields.number("rules.fall_multiple", 1),
+                fields.number("rules.fall_ms", 0),
+                fields.number("rules.cold_from", 0),
+                fields.number("rules.warm_within_ms", 0),
+                fields.number("rules.ask_within_ms", 0));
+        Coordination coordination = new Coordination(
+                fields.flag("specifics.counter", false),
+                fields.number("specifics.counter_price", 0),
+                fields.number("specifics.counter_timeout_ms", DEFAULT_COUNTER_TIMEOUT_MS),
+                fields.number("specifics.meter_period_ms", 0),
+                fields.flag("specifics.post_paid", false),
+                fields.number("specifics.max_units", 1),
+                fields.number("specifics.mail_per_s", 0),
+                fields.number("costs.peer", 0),
+                fields.number("costs.probe", 0),
+                fields.number("costs.cross_zone", 0));
+        String loadMetricNames = fields.text("telemetry.names", "");
         return new Settings(
-                f.whole("rng_seed"),
-                f.count("ordinal"),
-                f.count("balancers"),
-                f.text("az", ""),
-                f.text("discovery", "automatic").equals("subscribe"),
-                classes(f),
-                plans(f),
-                names.isEmpty() ? List.of() : List.of(names.split(",")),
+                fields.longNumber("rng_seed"),
+                fields.intNumber("ordinal"),
+                fields.intNumber("balancers"),
+                fields.text("az", ""),
+                fields.text("discovery", "automatic").equals("subscribe"),
+                readClasses(fields),
+                readPlans(fields),
+                loadMetricNames.isEmpty() ? List.of() : List.of(loadMetricNames.split(",")),
                 limits,
                 rules,
-                sharing);
+                coordination);
     }
 
-    private static List<RequestClass> classes(Fields f) {
+    private static List<RequestClass> readClasses(Fields fields) {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < f.count("classes.count"); i++) {
-            String at = "classes." + i + ".";
+        for (int i = 0; i < fields.intNumber("classes.count"); i++) {
+            String prefix = "classes." + i + ".";
             classes.add(new RequestClass(
-                    f.text(at + "name"),
-                    effect(f.text(at + "effect")),
-                    scope(f.text(at + "key_scope", "all")),
-                    f.number(at + "window_ms", 0),
-                    f.number(at + "goal_time_ms"),
-                    f.number(at + "hard_limit_ms"),
-                    f.number(at + "worth", 1),
-                    f.number(at + "late_value", 0),
-                    f.flag(at + "streaming", false)));
+                    fields.text(prefix + "name"),
+                    parseEffect(fields.text(prefix + "effect")),
+                    parseKeyScope(fields.text(prefix + "key_scope", "all")),
+                    fields.number(prefix + "window_ms", 0),
+                    fields.number(prefix + "goal_time_ms"),
+                    fields.number(prefix + "hard_limit_ms"),
+                    fields.number(prefix + "worth", 1),
+                    fields.number(prefix + "late_value", 0),
+                    fields.flag(prefix + "streaming", false)));
         }
         return List.copyOf(classes);
     }
 
-    private static List<Plan> plans(Fields f) {
+    private static List<Plan> readPlans(Fields fields) {
         List<Plan> plans = new ArrayList<>();
-        for (int i = 0; i < f.count("plans.count", 0); i++) {
-            String at = "plans." + i + ".";
+        for (int i = 0; i < fields.intNumber("plans.count", 0); i++) {
+            String prefix = "plans." + i + ".";
             plans.add(new Plan(
-                    f.text(at + "name"),
-                    f.number(at + "units_per_s", 0),
-                    f.number(at + "depth", 0),
-                    f.count(at + "at_once", 0),
-                    f.number(at + "value_factor", 1),
-                    f.number(at + "over_worth", 0),
-                    f.number(at + "excess_cost", 0),
-                    f.number(at + "cap_rate", 0),
-                    f.number(at + "never_over_depth", 0),
-                    f.number(at + "cap_slack", 0)));
+                    fields.text(prefix + "name"),
+                    fields.number(prefix + "units_per_s", 0),
+                    fields.number(prefix + "depth", 0),
+                    fields.intNumber(prefix + "at_once", 0),
+                    fields.number(prefix + "value_factor", 1),
+                    fields.number(prefix + "over_worth", 0),
+                    fields.number(prefix + "excess_cost", 0),
+                    fields.number(prefix + "cap_rate", 0),
+                    fields.number(prefix + "never_over_depth", 0),
+                    fields.number(prefix + "cap_slack", 0)));
         }
         return List.copyOf(plans);
     }
 
-    private static Effect effect(String word) {
-        return switch (word) {
+    private static Effect parseEffect(String value) {
+        return switch (value) {
             case "repeatable" -> Effect.REPEATABLE;
             case "by_key" -> Effect.KEYED;
             case "once" -> Effect.ONCE;
-            default -> throw new WireFormatException("unknown effect '" + word + "'");
+            default -> throw new WireFormatException("unknown effect '" + value + "'");
         };
     }
 
-    private static KeyScope scope(String word) {
-        return switch (word) {
+    private static KeyScope parseKeyScope(String value) {
+        return switch (value) {
             case "all" -> KeyScope.ALL;
             case "zone" -> KeyScope.ZONE;
             case "cell" -> KeyScope.CELL;
-            default -> throw new WireFormatException("unknown key scope '" + word + "'");
+            default -> throw new WireFormatException("unknown key scope '" + value + "'");
         };
     }
 }
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -19,9 +19,9 @@
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Long, DecisionModule> brains = new TreeMap<>();
-    private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
-    private final long[] lastAt = {Long.MIN_VALUE};
+    private final Map<Long, DecisionModule> modules = new TreeMap<>();
+    private final Map<Integer, List<Host>> hostLists = new TreeMap<>();
+    private final long[] lastInstance = {Long.MIN_VALUE};
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private String line = "";
@@ -34,57 +34,57 @@
     /** Answers batches until the input ends; a {@link WireFault} names the line and what is wrong with it. */
     void run() throws IOException {
         try {
-            while (next()) {
+            while (readNextLine()) {
                 if (line.isEmpty()) {
                     continue;
                 }
-                batch();
+                handleBatch();
             }
         } catch (WireFormatException exception) {
             throw new WireFormatException("line " + lineNumber + ": " + exception.getMessage());
         }
     }
 
-    private boolean next() throws IOException {
+    private boolean readNextLine() throws IOException {
         line = in.readLine();
         lineNumber++;
         return line != null;
     }
 
-    private static String nameOf(String line) {
+    private static String messageName(String line) {
         int space = line.indexOf(' ');
         return space < 0 ? line : line.substring(0, space);
     }
 
-    private Fields fields() {
+    private Fields parseFields() {
         int space = line.indexOf(' ');
         return new Fields(space < 0 ? "" : line.substring(space + 1));
     }
 
-    private void batch() throws IOException {
-        if (!nameOf(line).equals("BEGIN_BATCH")) {
-            throw new WireFormatException("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
+    private void handleBatch() throws IOException {
+        if (!messageName(line).equals("BEGIN_BATCH")) {
+            throw new WireFormatException("expected BEGIN_BATCH, found '" + messageName(line) + "'");
         }
-        Fields head = fields();
-        double now = head.number("moment_ms");
-        long turn = head.whole("turn");
-        lastAt[0] = Long.MIN_VALUE;
+        Fields header = parseFields();
+        double now = header.number("moment_ms");
+        long turn = header.longNumber("turn");
+        lastInstance[0] = Long.MIN_VALUE;
         reply.setLength(0);
         long target = Long.MIN_VALUE;
         while (true) {
-            if (!next()) {
+            if (!readNextLine()) {
                 throw new WireFormatException("input ended inside a batch");
             }
-            String name = nameOf(line);
+            String name = messageName(line);
             if (name.equals("COMMIT")) {
                 break;
             }
             if (name.equals("TARGET_INSTANCE")) {
-                target = fields().whole("gateway_id");
+                target = parseFields().longNumber("gateway_id");
             } else if (name.equals("CATALOG")) {
-                catalog(fields());
+                readHostList(parseFields());
             } else {
-                event(now, target, name);
+                handleMessage(now, target, name);
             }
         }
         reply.append("YIELD turn=").append(turn).append('\n');
@@ -92,127 +92,129 @@
         out.flush();
     }
 
-    private void event(double now, long target, String name) {
+    private void handleMessage(double now, long target, String name) {
         if (target == Long.MIN_VALUE) {
             throw new WireFormatException("'" + name + "' before any TARGET_INSTANCE");
         }
-        Fields f = fields();
+        Fields fields = parseFields();
         if (name.equals("ATTACH")) {
-            DecisionModule brain = new DecisionModule(new ReplyWriter(reply, target, lastAt));
-            brains.put(target, brain);
-            brain.start(now, SettingsReader.read(f));
+            DecisionModule module = new DecisionModule(new ReplyWriter(reply, target, lastInstance));
+            modules.put(target, module);
+            module.start(now, SettingsReader.read(fields));
             return;
         }
         if (name.equals("KILL")) {
-            brains.remove(target);
+            modules.remove(target);
             return;
         }
-        DecisionModule brain = brains.get(target);
-        if (brain == null) {
+        DecisionModule module = modules.get(target);
+        if (module == null) {
             throw new WireFormatException("'" + name + "' for an instance that was not started: " + target);
         }
-        tell(now, brain, name, f);
+        deliverEvent(now, module, name, fields);
     }
 
     /** An event of an instance that was started. */
-    private void tell(double now, DecisionModule brain, String name, Fields f) {
+    private void deliverEvent(double now, DecisionModule module, String name, Fields fields) {
         switch (name) {
-            case "MEMBERSHIP" -> membership(now, brain, f);
+            case "MEMBERSHIP" -> handleMembership(now, module, fields);
             case "DEMAND" ->
-                brain.requestReceived(
+                module.requestReceived(
                         now,
                         new Request(
-                                f.text("op_id"),
-                                f.number("valid_until_ms"),
-                                f.flag("retry", false),
-                                f.text("lane"),
-                                f.whole("holder"),
-                                f.text("contract"),
-                                f.number("size_units"),
-                                f.count("from_no", 0),
-                                f.count("doors", 1)));
-            case "FLOWING" -> brain.streamStarted(now, f.text("op_id"), f.count("hop"));
+                                fields.text("op_id"),
+                                fields.number("valid_until_ms"),
+                                fields.flag("retry", false),
+                                fields.text("lane"),
+                                fields.longNumber("holder"),
+                                fields.text("contract"),
+                                fields.number("size_units"),
+                                fields.intNumber("from_no", 0),
+                                fields.intNumber("doors", 1)));
+            case "FLOWING" -> module.streamStarted(now, fields.text("op_id"), fields.intNumber("hop"));
             case "COMPLETED" ->
-                brain.attemptEnded(
+                module.attemptEnded(
                         now,
                         new AttemptResult(
-                                f.text("op_id"),
-                                f.count("hop"),
-                                f.text("host"),
-                                outcome(f.text("reason")),
-                                f.number("cost_time_ms", 0),
-                                f.flag("terminal", false),
-                                f.count("use_pct", 0),
-                                f.number("cost", 0),
-                                f.row("health_info")));
-            case "VANISHED" -> brain.clientDisconnected(now, f.text("op_id"));
-            case "DUE" -> brain.timerFired(now, f.text("cookie"));
+                                fields.text("op_id"),
+                                fields.intNumber("hop"),
+                                fields.text("host"),
+                                parseOutcome(fields.text("reason")),
+                                fields.number("cost_time_ms", 0),
+                                fields.flag("terminal", false),
+                                fields.intNumber("use_pct", 0),
+                                fields.number("cost", 0),
+                                fields.numbers("health_info")));
+            case "VANISHED" -> module.clientDisconnected(now, fields.text("op_id"));
+            case "DUE" -> module.timerFired(now, fields.text("cookie"));
             case "PROBE_RESULT" ->
-                brain.probeEnded(
+                module.probeEnded(
                         now,
-                        f.text("host"),
-                        outcome(f.text("reason")),
-                        f.number("cost_time_ms", 0),
-                        f.row("health_info"));
-            case "FROM_PEER" -> brain.peerMessageReceived(now, f.count("neighbour"), f.bytes("contents"));
+                        fields.text("host"),
+                        parseOutcome(fields.text("reason")),
+                        fields.number("cost_time_ms", 0),
+                        fields.numbers("health_info"));
+            case "FROM_PEER" ->
+                module.peerMessageReceived(now, fields.intNumber("neighbour"), fields.bytes("contents"));
             case "COUNTED" ->
-                brain.counterCallEnded(now, f.text("counter"), outcome(f.text("reason")), f.number("reading", 0));
+                module.counterCallEnded(
+                        now, fields.text("counter"), parseOutcome(fields.text("reason")), fields.number("reading", 0));
             default -> throw new WireFormatException("unknown message '" + name + "'");
         }
     }
 
-    private void membership(double now, DecisionModule brain, Fields f) {
-        String how = f.text("how");
-        HostListKind kind = switch (how) {
+    private void handleMembership(double now, DecisionModule module, Fields fields) {
+        String kindCode = fields.text("how");
+        HostListKind kind = switch (kindCode) {
             case "D" -> HostListKind.CHANGES;
             case "F" -> HostListKind.FULL;
             case "C" -> HostListKind.CACHED;
             case "X" -> HostListKind.FAILED;
-            default -> throw new WireFormatException("unknown list kind '" + how + "'");
+            default -> throw new WireFormatException("unknown list kind '" + kindCode + "'");
         };
         List<Host> hosts = List.of();
         if (kind != HostListKind.FAILED) {
-            int page = f.count("page");
-            hosts = catalogs.get(page);
+            int page = fields.intNumber("page");
+            hosts = hostLists.get(page);
             if (hosts == null) {
                 throw new WireFormatException("no CATALOG with page " + page);
             }
         }
-        brain.hostsUpdated(now, kind, hosts);
+        module.hostsUpdated(now, kind, hosts);
     }
 
-    private void catalog(Fields f) throws IOException {
-        int page = f.count("page");
-        int members = f.count("members");
+    private void readHostList(Fields fields) throws IOException {
+        int page = fields.intNumber("page");
+        int members = fields.intNumber("members");
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            if (!next() || !nameOf(line).equals("HOST")) {
+            if (!readNextLine() || !messageName(line).equals("HOST")) {
                 throw new WireFormatException("expected " + members + " HOST lines, found " + i);
             }
-            Fields h = fields();
+            Fields hostFields = parseFields();
             hosts.add(new Host(
-                    h.text("host"),
-                    h.text("failure_domain", ""),
-                    h.text("shape", ""),
-                    h.count("cohort", 0),
-                    state(h.text("mode")),
-                    h.number("rating", 1),
-                    h.number("born_ms", 0)));
+                    hostFields.text("host"),
+                    hostFields.text("failure_domain", ""),
+                    hostFields.text("shape", ""),
+                    hostFields.intNumber("cohort", 0),
+                    parseHostState(hostFields.text("mode")),
+                    hostFields.number("rating", 1),
+                    hostFields.number("born_ms", 0)));
         }
-        catalogs.put(page, List.copyOf(hosts));
+        hostLists.put(page, List.copyOf(hosts));
     }
 
-    private static HostState state(String word) {
-        return switch (word) {
+    private static HostState parseHostState(String value) {
+        return switch (value) {
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
             case "Deleted" -> HostState.GONE;
-            default -> throw new WireFormatException("unknown host mode '" + word + "'");
+            default -> throw new WireFormatException("unknown host mode '" + value + "'");
         };
     }
 
-    private static Outcome outcome(String word) {
-        return switch (word) {
+    private static Outcome parseOutcome(String value) {
+        return switch (value) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.ERROR;
             case "QueueFull" -> Outcome.FULL;
@@ -221,7 +223,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.MOOT;
-            default -> throw new WireFormatException("unknown reason '" + word + "'");
+            default -> throw new WireFormatException("unknown reason '" + value + "'");
         };
     }
 }
