--- a/src/test/java/deckfall/ColdFleet.java
+++ b/src/test/java/deckfall/ColdFleet.java
@@ -40,13 +40,13 @@
     private record Event(double at, int order, Runnable run) {}
 
     private static final class Copy {
-        final FakeGateway gateway;
+        final GatewayHarness gateway;
         final String id;
         final int number;
         final double sentAt;
         boolean ended;
 
-        Copy(FakeGateway gateway, String id, int number, double sentAt) {
+        Copy(GatewayHarness gateway, String id, int number, double sentAt) {
             this.gateway = gateway;
             this.id = id;
             this.number = number;
@@ -126,8 +126,8 @@
     private final long seed;
     private final Troubles troubles;
     private final Map<String, SeatServer> servers = new LinkedHashMap<>();
-    private final List<List<FakeGateway>> processes = new ArrayList<>(); // of each gateway, those that get requests
-    private final List<FakeGateway> running = new ArrayList<>();
+    private final List<List<GatewayHarness>> processes = new ArrayList<>(); // of each gateway, those that get requests
+    private final List<GatewayHarness> running = new ArrayList<>();
     private final Map<String, Copy> lastCopy = new HashMap<>();
     private double now;
     private int order;
@@ -192,14 +192,14 @@
     }
 
     private void beat() {
-        for (FakeGateway g : List.copyOf(running)) act(g);
+        for (GatewayHarness g : List.copyOf(running)) act(g);
         after(2, this::beat);
     }
 
     private void start(int number) {
-        Settings s = FakeGateway.settings(number, GATEWAYS, seed * 1000 + started++);
+        Settings s = GatewayHarness.settings(number, GATEWAYS, seed * 1000 + started++);
         String zone = "abc".substring(number % 3, number % 3 + 1);
-        FakeGateway g = new FakeGateway(
+        GatewayHarness g = new GatewayHarness(
                 now,
                 new Settings(
                         s.seed(),
@@ -213,7 +213,7 @@
                         s.limits(),
                         rules,
                         s.coordination()));
-        g.brain.hostsUpdated(
+        g.module.hostsUpdated(
                 now,
                 HostListKind.FULL,
                 servers.values().stream()
@@ -221,26 +221,26 @@
                         .map(SeatServer::listed)
                         .toList());
         running.add(g);
-        List<FakeGateway> all = processes.get(number);
-        if (!all.isEmpty()) g.brain.restoreCustomers(now, all.get(0).brain.snapshotCustomers(now));
+        List<GatewayHarness> all = processes.get(number);
+        if (!all.isEmpty()) g.module.restoreCustomers(now, all.get(0).module.snapshotCustomers(now));
         all.add(g);
-        all.forEach(p -> p.brain.processCountChanged(now, all.size()));
+        all.forEach(p -> p.module.processCountChanged(now, all.size()));
     }
 
     /** A new process in place of an old one, at once or after some time beside it. */
     private void restart(int number) {
-        List<FakeGateway> all = processes.get(number);
-        FakeGateway old = all.get(0);
+        List<GatewayHarness> all = processes.get(number);
+        GatewayHarness old = all.get(0);
         if (number % 2 == 0) end(number, old);
         start(number);
         if (number % 2 == 1) after(ALONE_MS, () -> end(number, old));
     }
 
-    private void end(int number, FakeGateway old) {
-        List<FakeGateway> all = processes.get(number);
+    private void end(int number, GatewayHarness old) {
+        List<GatewayHarness> all = processes.get(number);
         running.remove(old);
         all.remove(old);
-        all.forEach(p -> p.brain.processCountChanged(now, all.size()));
+        all.forEach(p -> p.module.processCountChanged(now, all.size()));
     }
 
     private void restartNext(int number) {
@@ -249,9 +249,9 @@
     }
 
     private void tell(List<SeatServer> changed) {
-        for (FakeGateway g : List.copyOf(running)) {
+        for (GatewayHarness g : List.copyOf(running)) {
             act(g);
-            g.brain.hostsUpdated(
+            g.module.hostsUpdated(
                     now,
                     HostListKind.CHANGES,
                     changed.stream().map(SeatServer::listed).toList());
@@ -263,19 +263,19 @@
         double perMs = WARM_LOAD * servers.size() * SLOTS / SERVICE_MS * (now >= AWAY_MS ? BURST : 1);
         after(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
         double drawn = random.nextDouble(); // some gateways get several times the mean
-        List<FakeGateway> all = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
-        FakeGateway g = all.get(random.nextInt(all.size()));
+        List<GatewayHarness> all = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
+        GatewayHarness g = all.get(random.nextInt(all.size()));
         act(g);
         String cls = List.of("read", "read", "pay", "order").get(random.nextInt(4));
-        g.brain.requestReceived(now, new Request("r" + asked++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
+        g.module.requestReceived(now, new Request("r" + asked++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
         act(g);
     }
 
     /** Its timers, and then what it wants. */
-    private void act(FakeGateway g) {
-        g.runTo(now);
+    private void act(GatewayHarness g) {
+        g.runUntil(now);
         while (!g.sent.isEmpty() || !g.cancelled.isEmpty()) {
-            List<FakeGateway.Sent> sent = List.copyOf(g.sent);
+            List<GatewayHarness.SentAttempt> sent = List.copyOf(g.sent);
             List<String> cancelled = List.copyOf(g.cancelled);
             g.sent.clear();
             g.cancelled.clear();
@@ -287,10 +287,10 @@
         g.log.clear();
     }
 
-    private void send(FakeGateway g, FakeGateway.Sent s) {
+    private void send(GatewayHarness g, GatewayHarness.SentAttempt s) {
         SeatServer to = servers.get(s.host());
         Copy before = lastCopy.get(s.id());
-        Copy copy = new Copy(g, s.id(), before == null ? 0 : before.number + 1, s.at());
+        Copy copy = new Copy(g, s.id(), before == null ? 0 : before.number + 1, s.atMs());
         lastCopy.put(s.id(), copy);
         if (to.startedMs > 0) to.sentAt.add(now);
         if (copy.number > 0) further++;
@@ -305,7 +305,7 @@
         if (c.ended || !running.contains(c.gateway)) return;
         c.ended = true;
         act(c.gateway);
-        c.gateway.brain.attemptEnded(
+        c.gateway.module.attemptEnded(
                 now,
                 new AttemptResult(
                         c.id, c.number, "", outcome, now - c.sentAt, outcome == Outcome.OK, 0, 0, new double[0]));
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -19,12 +19,12 @@
     private static final int GATEWAYS = 4;
     private static final Plan SLOW = new Plan("slow", 0.5, 4, 0, 1, 0, 1, 0, 0, 0);
 
-    private FakeGateway g;
+    private GatewayHarness g;
     private int serial;
 
-    private static FakeGateway gateway(boolean counter) {
-        Settings s = FakeGateway.settings(0, GATEWAYS);
-        return new FakeGateway(
+    private static GatewayHarness gateway(boolean counter) {
+        Settings s = GatewayHarness.settings(0, GATEWAYS);
+        return new GatewayHarness(
                         0,
                         new Settings(
                                 s.seed(),
@@ -48,21 +48,21 @@
 
     private String ask() {
         String id = "q" + serial++;
-        g.ask(id, "read", "slow", 42, 1, GATEWAYS);
+        g.request(id, "read", "slow", 42, 1, GATEWAYS);
         return id;
     }
 
-    private FakeGateway.Counted askUntilCounted() {
-        while (g.counted.isEmpty()) {
+    private GatewayHarness.CounterCall askUntilCounted() {
+        while (g.counterCalls.isEmpty()) {
             ask();
         }
-        return g.counted.get(g.counted.size() - 1);
+        return g.counterCalls.get(g.counterCalls.size() - 1);
     }
 
     /** A customer that most gateways see little of would otherwise have less than one request a part. */
     @Test
     void theFirstRequestOfASmallBurstIsLetIn() {
-        assertEquals(1, g.sends(ask()));
+        assertEquals(1, g.attemptCount(ask()));
     }
 
     @Test
@@ -74,42 +74,42 @@
 
     @Test
     void aStoreWithRoomLetsInWhatWaitsForTheCounter() {
-        FakeGateway.Counted call = askUntilCounted();
-        g.brain.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
-        assertEquals(1, g.sends("q" + (serial - 1)));
+        GatewayHarness.CounterCall call = askUntilCounted();
+        g.module.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
+        assertEquals(1, g.attemptCount("q" + (serial - 1)));
     }
 
     @Test
     void aStoreThatOthersEmptiedRefusesAndGivesTheWantedUnitsBack() {
-        FakeGateway.Counted call = askUntilCounted();
-        g.brain.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
+        GatewayHarness.CounterCall call = askUntilCounted();
+        g.module.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
         assertEquals(List.of("q" + (serial - 1)), g.refused);
         assertEquals(List.of(Refusal.QUOTA), g.refusals);
         ask();
         assertEquals(2, g.refused.size()); // known to be empty: not asked again
-        assertEquals(1, g.counted.size());
-        g.pass(1000);
-        assertEquals(-1, g.counted.get(1).amount());
+        assertEquals(1, g.counterCalls.size());
+        g.advance(1000);
+        assertEquals(-1, g.counterCalls.get(1).amount());
     }
 
     @Test
     void withoutAnAnswerTheOwnPartDecidesAndTheCounterGetsEverFewerCalls() {
-        FakeGateway.Counted call = askUntilCounted();
-        g.brain.counterCallEnded(g.now, call.counter(), Outcome.TIMEOUT, 0);
+        GatewayHarness.CounterCall call = askUntilCounted();
+        g.module.counterCallEnded(g.now, call.counter(), Outcome.TIMEOUT, 0);
         assertEquals(List.of("q" + (serial - 1)), g.refused);
         assertEquals(List.of(Refusal.PART), g.refusals);
-        g.counted.clear();
+        g.counterCalls.clear();
         ask();
-        g.counted.forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
+        g.counterCalls.forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
         assertEquals(2, g.refused.size());
-        g.counted.clear();
+        g.counterCalls.clear();
         int[] calls = new int[2];
         for (int i = 0; i < 400; i++) {
             ask();
-            g.pass(50);
-            calls[i / 200] += g.counted.size();
-            List.copyOf(g.counted).forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
-            g.counted.clear();
+            g.advance(50);
+            calls[i / 200] += g.counterCalls.size();
+            List.copyOf(g.counterCalls).forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
+            g.counterCalls.clear();
             assertEquals(serial, g.sent.size() + g.refused.size()); // nothing is held for it
         }
         assertTrue(calls[0] > calls[1] && calls[1] <= 10, calls[0] + " calls in 10 s, then " + calls[1]);
@@ -120,8 +120,8 @@
     void whoHasBeenForgottenIsNotCalledFor() {
         for (int i = 0; i < 200; i++) {
             String id = "q" + serial++;
-            g.ask(id, "read", "slow", 1000 + i, 1, GATEWAYS);
-            g.end(id, 0, Outcome.OK, 10);
+            g.request(id, "read", "slow", 1000 + i, 1, GATEWAYS);
+            g.endAttempt(id, 0, Outcome.OK, 10);
         }
         assertTrue(callsTurnedAway(20) > 0);
         callsTurnedAway(60); // forgotten after a minute, at the next sweep
@@ -131,10 +131,10 @@
     private int callsTurnedAway(int seconds) {
         int calls = 0;
         for (int i = 0; i < seconds * 10; i++) {
-            g.pass(100);
-            calls += g.counted.size();
-            List.copyOf(g.counted).forEach(c -> g.brain.counterCallEnded(g.now, c.counter(), Outcome.FULL, 0));
-            g.counted.clear();
+            g.advance(100);
+            calls += g.counterCalls.size();
+            List.copyOf(g.counterCalls).forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.FULL, 0));
+            g.counterCalls.clear();
         }
         return calls;
     }
@@ -146,12 +146,12 @@
         while (g.refused.isEmpty()) {
             String id = ask();
             if (g.refused.isEmpty()) {
-                g.brain.attemptEnded(
+                g.module.attemptEnded(
                         g.now, new AttemptResult(id, 0, g.hostOf(id), Outcome.OK, 10, true, 1, 0, new double[0]));
             }
         }
         int first = g.sent.size();
-        g.pass(2500); // one unit in the store, a quarter of one in an even part
+        g.advance(2500); // one unit in the store, a quarter of one in an even part
         ask();
         assertEquals(first + 1, g.sent.size());
     }
@@ -163,12 +163,12 @@
         while (g.refused.isEmpty()) {
             ask();
         }
-        FakeGateway second = gateway(false);
-        second.brain.restoreCustomers(second.now, g.brain.snapshotCustomers(g.now));
-        second.ask("r", "read", "slow", 42, 1, GATEWAYS);
+        GatewayHarness second = gateway(false);
+        second.module.restoreCustomers(second.now, g.module.snapshotCustomers(g.now));
+        second.request("r", "read", "slow", 42, 1, GATEWAYS);
         assertEquals(List.of("r"), second.refused);
-        second.ask("s", "read", "slow", 43, 1, GATEWAYS);
-        assertEquals(1, second.sends("s")); // of whom the first one knows nothing
+        second.request("s", "read", "slow", 43, 1, GATEWAYS);
+        assertEquals(1, second.attemptCount("s")); // of whom the first one knows nothing
     }
 
     @Test
@@ -184,14 +184,14 @@
             ask();
         }
         int first = g.sent.size();
-        g.sent.forEach(s -> g.end(s.id(), 0, Outcome.OK, 1));
-        g.brain.processCountChanged(g.now, 3);
-        g.brain.processCountChanged(g.now, processes);
+        g.sent.forEach(s -> g.endAttempt(s.id(), 0, Outcome.OK, 1));
+        g.module.processCountChanged(g.now, 3);
+        g.module.processCountChanged(g.now, processes);
         for (int i = 0; i < 400; i++) {
-            g.pass(200);
+            g.advance(200);
             String id = ask();
-            if (g.sends(id) > 0) {
-                g.end(id, 0, Outcome.OK, 1);
+            if (g.attemptCount(id) > 0) {
+                g.endAttempt(id, 0, Outcome.OK, 1);
             }
         }
         return g.sent.size() - first;
@@ -200,9 +200,9 @@
     /** Nothing tells there what the others of the set hold: all would take the same units to be free. */
     @Test
     void withoutAMeterAGuessIsLeftToThePlansWhoseExcessCostsLittle() {
-        Settings s = FakeGateway.settings(0, GATEWAYS);
+        Settings s = GatewayHarness.settings(0, GATEWAYS);
         Plan cheap = new Plan("cheap", SLOW.rate(), SLOW.burst(), 0, 1, 0, 0.1, 0, 0, 0);
-        g = new FakeGateway(
+        g = new GatewayHarness(
                         0,
                         new Settings(
                                 s.seed(),
@@ -219,9 +219,9 @@
                 .withHosts("a1", "a2", "a3", "a4");
         askUntilCounted();
         assertEquals(1, g.sent.size()); // its part of the burst, and no more unasked
-        g.counted.clear();
-        while (g.counted.isEmpty()) {
-            g.ask("c" + serial++, "read", "cheap", 43, 1, GATEWAYS);
+        g.counterCalls.clear();
+        while (g.counterCalls.isEmpty()) {
+            g.request("c" + serial++, "read", "cheap", 43, 1, GATEWAYS);
         }
         assertTrue(g.sent.size() > 2, g.sent.size() + " let in, two of them by the even parts");
     }
--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionsTest.java
@@ -37,9 +37,9 @@
 
     @Test
     void donationKeepsTheSumAndFavoursTheWorst() {
-        ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
-        ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
-        ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
+        ClassState slow = state(GatewayHarness.READ, 0.3, 1500, 2000);
+        ClassState easy = state(GatewayHarness.PAY, 0.4, 100, 2000);
+        ClassState idle = state(GatewayHarness.ORDER, 0.3, 300, 2000);
         assertTrue(DecisionModule.donateWeight(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
@@ -48,8 +48,8 @@
 
     @Test
     void donationIsClampedToWhatKeepsTheDonorContent() {
-        ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
-        ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
+        ClassState slow = state(GatewayHarness.READ, 0.5, 60_000, 100);
+        ClassState donor = state(GatewayHarness.PAY, 0.5, 500, 1000);
         DecisionModule.donateWeight(List.of(slow, donor));
         double clamp = (0.9 * DecisionModule.delayGoalMs(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
@@ -57,19 +57,19 @@
 
     @Test
     void weightsStayPositiveAndFreezeWhenAllSuffer() {
-        ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
-        ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
+        ClassState a = state(GatewayHarness.READ, 0.03, 10, 0.0001);
+        ClassState b = state(GatewayHarness.PAY, 0.97, 9000, 10);
         DecisionModule.donateWeight(List.of(a, b));
         assertTrue(a.weight > 0);
-        ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
-        ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
+        ClassState c = state(GatewayHarness.READ, 0.5, 5000, 10);
+        ClassState d = state(GatewayHarness.PAY, 0.5, 9000, 10);
         assertFalse(DecisionModule.donateWeight(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
     @Test
     void aBadSlopeKeepsTheLastGoodOne() {
-        ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
+        ClassState c = state(GatewayHarness.READ, 0.5, 800, 1234);
         c.previousWeight = 0.4;
         c.previousDelay = 700; // more weight, more delay: the wrong sign
         c.measureSlope(DecisionModule.delayGoalMs(c) * 0.1);
@@ -83,38 +83,38 @@
     @Test
     void inFlightIsBoundedAndTheRestIsHeldOrRefused() {
         // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "sent " + g.sent.size());
-        g.pass(1000);
+        g.advance(1000);
         assertTrue(g.refused.size() >= 150);
     }
 
     @Test
     void aPlaceFreedGoesToAHeldRequest() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1");
         for (int i = 0; i < 30; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         int before = g.sent.size();
-        g.pass(10);
-        g.end("r0", 0, Outcome.OK, 10);
+        g.advance(10);
+        g.endAttempt("r0", 0, Outcome.OK, 10);
         assertEquals(before + 1, g.sent.size());
     }
 
     @Test
     void aHostThatFailsFastDoesNotLookIdle() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
-            g.ask(id, "read");
+            g.request(id, "read");
             boolean bad = g.hostOf(id).equals("a1");
-            g.pass(bad ? 1 : 30);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
-            if (bad && g.sends(id) > 1) {
-                g.end(id, 1, Outcome.OK, 30);
+            g.advance(bad ? 1 : 30);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
+            if (bad && g.attemptCount(id) > 1) {
+                g.endAttempt(id, 1, Outcome.OK, 30);
             }
         }
         assertTrue(g.sent.stream().filter(s -> s.host().equals("a1")).count() < 10);
@@ -122,20 +122,20 @@
 
     @Test
     void anOverdueAttemptIsCalledBackWhereItMayRunElsewhere() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1", "b2");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
-            g.ask("w" + i, "read");
-            g.pass(20);
-            g.end("w" + i, 0, Outcome.OK, 20);
+            g.request("w" + i, "read");
+            g.advance(20);
+            g.endAttempt("w" + i, 0, Outcome.OK, 20);
         }
-        g.ask("r", "read");
-        g.ask("p", "pay");
+        g.request("r", "read");
+        g.request("p", "pay");
         String stuck = g.hostOf("r");
-        g.pass(700);
+        g.advance(700);
         assertEquals(List.of("r"), g.cancelled); // what must not run twice is left to run
-        g.end("r", 0, Outcome.CANCELLED, 700);
+        g.endAttempt("r", 0, Outcome.CANCELLED, 700);
         assertNotEquals(stuck, g.hostOf("r"));
-        assertEquals(1, g.sends("p"));
+        assertEquals(1, g.attemptCount("p"));
     }
 
     @Test
@@ -146,9 +146,9 @@
                 .toArray(String[]::new);
         Map<String, Integer> got = new TreeMap<>();
         for (int me = 0; me < 300; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me)).withHosts(hosts);
+            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 300, me)).withHosts(hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             g.sent.forEach(s -> got.merge(s.host(), 1, Integer::sum));
         }
@@ -167,10 +167,10 @@
         int cold = 0;
         int total = 0;
         for (int me = 0; me < 300; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hostsUpdated(g.now, HostListKind.FULL, hosts);
+            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 300, me));
+            g.module.hostsUpdated(g.now, HostListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             total += g.sent.size();
             cold += (int) g.sent.stream().filter(s -> s.host().equals("a7")).count();
@@ -182,18 +182,18 @@
     @Test
     void aHostThatFailsOneClassStillServesTheOthers() {
         // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         int orders = 0;
         int reads = 0;
         for (int i = 0; i < 120; i++) {
             String cls = i % 2 == 0 ? "pay" : "read";
             String id = cls + i;
-            g.ask(id, cls);
+            g.request(id, cls);
             boolean bad = g.hostOf(id).equals("a1") && i % 2 == 0;
             orders += bad && i >= 30 ? 1 : 0;
             reads += g.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
-            g.pass(20);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
+            g.advance(20);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
         }
         assertTrue(orders < 5, "failing class sent on " + orders);
         assertTrue(reads > 15, "other class kept away, " + reads);
@@ -207,13 +207,16 @@
                 .toArray(String[]::new);
         Map<String, Integer> met = new TreeMap<>();
         for (int me = 0; me < 379; me++) {
-            FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 379, me)).withHosts(hosts);
+            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 379, me)).withHosts(hosts);
             for (int i = 0; i < 200; i++) {
-                g.ask("r" + i, "read");
-                g.pass(20);
-                g.end("r" + i, 0, Outcome.OK, 20);
+                g.request("r" + i, "read");
+                g.advance(20);
+                g.endAttempt("r" + i, 0, Outcome.OK, 20);
             }
-            g.sent.stream().map(FakeGateway.Sent::host).distinct().forEach(h -> met.merge(h, 1, Integer::sum));
+            g.sent.stream()
+                    .map(GatewayHarness.SentAttempt::host)
+                    .distinct()
+                    .forEach(h -> met.merge(h, 1, Integer::sum));
         }
         assertTrue(met.size() == 65 && met.values().stream().allMatch(n -> n <= 50), met.toString());
     }
@@ -221,28 +224,28 @@
     @Test
     void aHostThatTakesNoConnectionIsLeftAloneAtOnce() {
         // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
-        g.ask("r", "read");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
+        g.request("r", "read");
         String full = g.hostOf("r");
-        g.end("r", 0, Outcome.CONNECT_FAILED, 1);
+        g.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
         for (int i = 0; i < 9; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertEquals(1, g.sent.stream().filter(s -> s.host().equals(full)).count());
     }
 
     @Test
     void whenMostLookBadServiceGoesOn() {
-        FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
+        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
-            g.ask("r" + i, "read");
-            for (int n = 0; n < g.sends("r" + i); n++) {
-                g.end("r" + i, n, Outcome.CONNECT_FAILED, 1);
+            g.request("r" + i, "read");
+            for (int n = 0; n < g.attemptCount("r" + i); n++) {
+                g.endAttempt("r" + i, n, Outcome.CONNECT_FAILED, 1);
             }
         }
-        g.pass(20);
+        g.advance(20);
         int before = g.sent.size();
-        g.ask("x", "read");
+        g.request("x", "read");
         assertTrue(g.sent.size() > before);
     }
 
@@ -253,26 +256,26 @@
     }
 
     private static List<String> story(long seed) {
-        FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
+        GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
         List<String> open = new ArrayList<>();
         String[] classes = {"read", "pay", "order"};
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            g.ask(
+            g.request(
                     id,
                     classes[random.nextInt(3)],
                     random.nextBoolean() ? "small" : "free",
                     random.nextInt(20),
                     1 + random.nextInt(4),
                     3);
-            if (g.sends(id) > 0) {
+            if (g.attemptCount(id) > 0) {
                 open.add(id);
             }
-            g.pass(random.nextInt(30));
+            g.advance(random.nextInt(30));
             if (!open.isEmpty() && random.nextInt(3) > 0) {
                 String done = open.remove(random.nextInt(open.size()));
-                g.end(done, 0, Outcome.values()[random.nextInt(6)], 20);
+                g.endAttempt(done, 0, Outcome.values()[random.nextInt(6)], 20);
             }
         }
         return g.log;
--- a/src/test/java/deckfall/MeterTest.java
+++ b/src/test/java/deckfall/MeterTest.java
@@ -24,7 +24,7 @@
     private static final double LATE_MS = 800;
     private static final Plan WIDE = new Plan("wide", 20, 20, 0, 1, 0, 1, 0, 0, 0);
 
-    private final List<FakeGateway> all = new ArrayList<>();
+    private final List<GatewayHarness> all = new ArrayList<>();
     private final TreeMap<Integer, Integer> usedIn = new TreeMap<>(); // by number of the metered period
     private final Set<String> ended = new HashSet<>();
     private int serial;
@@ -32,8 +32,8 @@
     @BeforeEach
     void gateways() {
         for (int i = 0; i < GATEWAYS; i++) {
-            Settings s = FakeGateway.settings(i, GATEWAYS);
-            all.add(new FakeGateway(
+            Settings s = GatewayHarness.settings(i, GATEWAYS);
+            all.add(new GatewayHarness(
                             0,
                             new Settings(
                                     s.seed(),
@@ -56,19 +56,19 @@
     }
 
     private void ask(int gateway, Plan plan) {
-        all.get(gateway).ask("q" + serial++, "read", plan.name(), 42, 1, GATEWAYS);
+        all.get(gateway).request("q" + serial++, "read", plan.name(), 42, 1, GATEWAYS);
     }
 
     /** Lets a step pass: what was sent in it is metered, and answered with the last total that is known. */
     private void step() {
         int known = (int) Math.floor((now() - LATE_MS) / PERIOD_MS) - 1;
         int usedPct = known < 0 ? 0 : 1 + (int) (100 * usedIn.getOrDefault(known, 0) / WIDE.rate());
-        for (FakeGateway g : all) {
-            g.pass(STEP_MS);
-            for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+        for (GatewayHarness g : all) {
+            g.advance(STEP_MS);
+            for (GatewayHarness.SentAttempt s : List.copyOf(g.sent)) {
                 if (ended.add(g.hashCode() + s.id())) {
-                    usedIn.merge((int) (s.at() / PERIOD_MS), 1, Integer::sum);
-                    g.brain.attemptEnded(
+                    usedIn.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
+                    g.module.attemptEnded(
                             g.now,
                             new AttemptResult(
                                     s.id(), 0, s.host(), Outcome.OK, STEP_MS, true, usedPct, 0, new double[0]));
@@ -111,15 +111,15 @@
     /** A client that comes back when it was told to must find what it was told of. */
     @Test
     void aRefusalTellsWhenTheOwnBucketWillHaveFilled() {
-        FakeGateway g = all.get(0);
+        GatewayHarness g = all.get(0);
         while (g.refused.isEmpty()) {
             ask(0, WIDE);
         }
         String[] words = g.log.get(g.log.size() - 1).split(" ");
         assertTrue(words[1].equals("refuse") && Double.parseDouble(words[3]) > 0, String.join(" ", words));
-        g.sent.forEach(s -> g.end(s.id(), 0, Outcome.OK, STEP_MS));
+        g.sent.forEach(s -> g.endAttempt(s.id(), 0, Outcome.OK, STEP_MS));
         int before = g.sent.size();
-        g.pass(Double.parseDouble(words[3]));
+        g.advance(Double.parseDouble(words[3]));
         ask(0, WIDE);
         assertTrue(g.sent.size() > before, "refused again after " + words[3] + " ms");
     }
--- a/src/test/java/deckfall/PartsTest.java
+++ b/src/test/java/deckfall/PartsTest.java
@@ -14,7 +14,7 @@
 
 /** Admission by parts, tells between gateways, and giving of ceiling units. */
 class PartsTest {
-    private final List<FakeGateway> all = new ArrayList<>();
+    private final List<GatewayHarness> all = new ArrayList<>();
     private int serial;
     private final Set<String> ended = new HashSet<>();
     private double letIn;
@@ -24,34 +24,34 @@
 
     private void gateways(int count) {
         for (int i = 0; i < count; i++) {
-            all.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
+            all.add(new GatewayHarness(1000, GatewayHarness.settings(i, count)).withHosts("a1", "a2", "a3"));
         }
     }
 
     /** Carries tells with a beat's delay and answers what was sent. */
     private void pass(double ms) {
         for (double end = all.get(0).now + ms; all.get(0).now < end; ) {
-            for (FakeGateway g : all) {
-                g.pass(10);
+            for (GatewayHarness g : all) {
+                g.advance(10);
             }
             for (int from = 0; from < all.size(); from++) {
-                List<FakeGateway.Told> told = List.copyOf(all.get(from).told);
-                all.get(from).told.clear();
-                for (FakeGateway.Told t : told) {
+                List<GatewayHarness.SentMessage> told = List.copyOf(all.get(from).messages);
+                all.get(from).messages.clear();
+                for (GatewayHarness.SentMessage t : told) {
                     serial++;
                     if (cut || lossy && serial % 4 == 0) {
                         continue;
                     }
                     for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).brain.peerMessageReceived(all.get(t.peer()).now, from, t.data());
+                        all.get(t.peer()).module.peerMessageReceived(all.get(t.peer()).now, from, t.data());
                     }
                 }
             }
-            for (FakeGateway g : all) {
-                for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+            for (GatewayHarness g : all) {
+                for (GatewayHarness.SentAttempt s : List.copyOf(g.sent)) {
                     if (ended.add(s.id())) {
                         letIn += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                        g.end(s.id(), 0, Gateway.Outcome.OK, 5);
+                        g.endAttempt(s.id(), 0, Gateway.Outcome.OK, 5);
                     }
                 }
             }
@@ -59,7 +59,7 @@
     }
 
     private void ask(int gateway, String plan, double units) {
-        all.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, all.size());
+        all.get(gateway).request("q" + serial++ + ":" + units, "read", plan, 42, units, all.size());
     }
 
     /** Units let in over so many seconds of five times the small quota, asked at the given gateways. */
@@ -132,7 +132,7 @@
         flood(4, 5, 6, 7);
         int keeper = DecisionState.rankGateways(42, 0, 60, 60, 2)[0];
         double now = all.get(keeper).now;
-        all.set(keeper, new FakeGateway(now, FakeGateway.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
+        all.set(keeper, new GatewayHarness(now, GatewayHarness.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
         double after = flood(4, 5, 6, 7);
         assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "let in after the restart " + after);
     }
@@ -142,23 +142,23 @@
         gateways(3);
         int keeper = DecisionState.rankGateways(42, 0, 3, 3, 2)[0];
         int member = keeper == 0 ? 1 : 0;
-        FakeGateway g = all.get(keeper);
+        GatewayHarness g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             PeerMessage.Entry e =
                     new PeerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerMessageReceived(g.now, member, new PeerMessage(500, 0, 1 + set[1], 0, List.of(e)).encode());
+            g.module.peerMessageReceived(g.now, member, new PeerMessage(500, 0, 1 + set[1], 0, List.of(e)).encode());
         }
         PeerMessage.Entry plan =
                 new PeerMessage.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerMessageReceived(g.now, member, new PeerMessage(600, 0, 1, 0, List.of(plan)).encode());
-        g.pass(100);
-        assertTrue(g.told.isEmpty());
+        g.module.peerMessageReceived(g.now, member, new PeerMessage(600, 0, 1, 0, List.of(plan)).encode());
+        g.advance(100);
+        assertTrue(g.messages.isEmpty());
         PeerMessage.Entry good = new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
         byte[] once = new PeerMessage(700, 0, 1, 0, List.of(good)).encode();
-        g.brain.peerMessageReceived(g.now, member, once);
-        g.brain.peerMessageReceived(g.now, member, once);
-        g.pass(100);
-        PeerMessage.Entry answer = g.told.stream()
+        g.module.peerMessageReceived(g.now, member, once);
+        g.module.peerMessageReceived(g.now, member, once);
+        g.advance(100);
+        PeerMessage.Entry answer = g.messages.stream()
                 .flatMap(t -> PeerMessage.decode(t.data()).entries().stream())
                 .filter(PeerMessage.Entry::answer)
                 .findFirst()
@@ -195,12 +195,12 @@
     @Test
     void damagedMessagesAreDroppedWhole() {
         gateways(2);
-        all.get(0).ask("a", "read", "small", 42, 4, 2);
-        all.get(1).ask("b", "read", "small", 42, 4, 2);
-        all.get(0).pass(400);
-        all.get(1).pass(400);
+        all.get(0).request("a", "read", "small", 42, 4, 2);
+        all.get(1).request("b", "read", "small", 42, 4, 2);
+        all.get(0).advance(400);
+        all.get(1).advance(400);
         byte[] good = all.stream()
-                .flatMap(g -> g.told.stream())
+                .flatMap(g -> g.messages.stream())
                 .findFirst()
                 .orElseThrow()
                 .data();
@@ -242,23 +242,23 @@
     @Test
     void openAttemptsAreLimited() {
         gateways(1);
-        FakeGateway g = all.get(0);
+        GatewayHarness g = all.get(0);
         for (int i = 0; i < 4; i++) {
-            g.ask("o" + i, "read", "open", 5, 1, 1);
+            g.request("o" + i, "read", "open", 5, 1, 1);
         }
         assertEquals(2, g.sent.size());
         assertEquals(2, g.refused.size());
-        g.end("o0", 0, Gateway.Outcome.OK, 5);
-        g.ask("o9", "read", "open", 5, 1, 1);
-        assertEquals(1, g.sends("o9"));
+        g.endAttempt("o0", 0, Gateway.Outcome.OK, 5);
+        g.request("o9", "read", "open", 5, 1, 1);
+        assertEquals(1, g.attemptCount("o9"));
     }
 
     @Test
     void beyondTheQuotaIsRefusedAtOnce() {
         gateways(1);
-        FakeGateway g = all.get(0);
+        GatewayHarness g = all.get(0);
         for (int i = 0; i < 5; i++) {
-            g.ask("o" + i, "read", "small", 5, 4, 1);
+            g.request("o" + i, "read", "small", 5, 4, 1);
         }
         assertEquals(3, g.sent.size());
         assertEquals(List.of("o3", "o4"), g.refused);
@@ -267,13 +267,13 @@
     /** A life's number is cut from Unix time and runs over; a peer that starts after that is still the later one. */
     @Test
     void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
-        FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
+        GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(0, 2)).withHosts("a1");
         PeerMessage.Entry e = new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
-            int before = g.told.size();
-            g.brain.peerMessageReceived(g.now, 1, new PeerMessage(life, 0, 1, 0, List.of(e)).encode());
-            g.pass(200);
-            assertTrue(g.told.size() > before, "no answer to life " + life);
+            int before = g.messages.size();
+            g.module.peerMessageReceived(g.now, 1, new PeerMessage(life, 0, 1, 0, List.of(e)).encode());
+            g.advance(200);
+            assertTrue(g.messages.size() > before, "no answer to life " + life);
         }
     }
 }
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -21,14 +21,14 @@
     private static final double RATE = 1;
     private static final double RECALL_MS = 2 * 1000 * BURST; // for which an answer tells of the store
 
-    private FakeGateway gateway;
+    private GatewayHarness gateway;
     private int requests;
 
     /** Excess costs a share of its worth, so that it pays to let in more or fewer on a guess. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", RATE, BURST, 0, 1, 0, excessCost, 0, 0, 0);
-        Settings s = FakeGateway.settings(0, GATEWAYS);
-        gateway = new FakeGateway(
+        Settings s = GatewayHarness.settings(0, GATEWAYS);
+        gateway = new GatewayHarness(
                         0,
                         new Settings(
                                 s.seed(),
@@ -46,39 +46,40 @@
     }
 
     private void request(long customer) {
-        gateway.ask("q" + requests++, "read", "small", customer, 1, GATEWAYS);
+        gateway.request("q" + requests++, "read", "small", customer, 1, GATEWAYS);
     }
 
     /** Requests of one customer until one of them is called for. */
-    private FakeGateway.Counted callFor(long customer) {
+    private GatewayHarness.CounterCall callFor(long customer) {
         for (int i = 0; i < 1000; i++) {
             request(customer);
-            List<FakeGateway.Counted> calls = List.copyOf(gateway.counted);
-            gateway.counted.clear();
-            for (FakeGateway.Counted call : calls) {
+            List<GatewayHarness.CounterCall> calls = List.copyOf(gateway.counterCalls);
+            gateway.counterCalls.clear();
+            for (GatewayHarness.CounterCall call : calls) {
                 if (isFor(customer, call)) {
                     return call;
                 }
             }
-            gateway.pass(100);
+            gateway.advance(100);
         }
         throw new AssertionError("no call for the customer");
     }
 
-    private static boolean isFor(long customer, FakeGateway.Counted call) {
+    private static boolean isFor(long customer, GatewayHarness.CounterCall call) {
         return call.counter().startsWith("u" + Long.toHexString(customer) + ".");
     }
 
     private int callsFor(long customer) {
-        return (int) gateway.counted.stream().filter(c -> isFor(customer, c)).count();
+        return (int)
+                gateway.counterCalls.stream().filter(c -> isFor(customer, c)).count();
     }
 
-    private void answer(FakeGateway.Counted call, double total) {
-        gateway.brain.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
+    private void answer(GatewayHarness.CounterCall call, double total) {
+        gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
     /** What the customer may have used since the count's window began. */
-    private double allowed(long customer, FakeGateway.Counted call) {
+    private double allowed(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
         return BURST + RATE * elapsedMs / 1000;
@@ -87,15 +88,15 @@
     @Test
     void aCustomerThatTheCounterHasJustRefusedIsNotAskedForAgain() {
         start(1);
-        FakeGateway.Counted call = callFor(CUSTOMER);
+        GatewayHarness.CounterCall call = callFor(CUSTOMER);
         answer(call, call.amount() + BEYOND);
         settle();
         int refused = gateway.refused.size();
         for (double waited = 0; waited < RECALL_MS - 1000; waited += 500) {
             request(CUSTOMER);
-            gateway.pass(500);
+            gateway.advance(500);
         }
-        assertEquals(0, callsFor(CUSTOMER), gateway.counted.toString());
+        assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
         assertTrue(gateway.refused.size() - refused >= RECALL_MS / 500 - 3);
     }
 
@@ -103,39 +104,39 @@
     @Test
     void unitsOfARefusedCallAreGivenBack() {
         start(0.5);
-        FakeGateway.Counted call = callThatStandsForOthers();
+        GatewayHarness.CounterCall call = callThatStandsForOthers();
         answer(call, call.amount() + BEYOND);
-        gateway.pass(3000);
-        double given = gateway.counted.stream()
+        gateway.advance(3000);
+        double given = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
-                .mapToDouble(FakeGateway.Counted::amount)
+                .mapToDouble(GatewayHarness.CounterCall::amount)
                 .sum();
-        assertEquals(-call.amount(), given, 1e-9, gateway.counted.toString());
+        assertEquals(-call.amount(), given, 1e-9, gateway.counterCalls.toString());
     }
 
     /** Many customers ask at once, so that not every request can be called for. */
-    private FakeGateway.Counted callThatStandsForOthers() {
+    private GatewayHarness.CounterCall callThatStandsForOthers() {
         for (int i = 0; i < 2000; i++) {
             request(1000 + i);
-            List<FakeGateway.Counted> calls = List.copyOf(gateway.counted);
-            gateway.counted.clear();
-            for (FakeGateway.Counted call : calls) {
+            List<GatewayHarness.CounterCall> calls = List.copyOf(gateway.counterCalls);
+            gateway.counterCalls.clear();
+            for (GatewayHarness.CounterCall call : calls) {
                 if (call.amount() > 1.5) {
                     return call;
                 }
                 answer(call, allowed(1000 + i, call) - BURST + call.amount());
             }
-            gateway.pass(2);
+            gateway.advance(2);
         }
         throw new AssertionError("each request was called for");
     }
 
     /** Units that wait to be given back are told. */
     private void settle() {
-        gateway.pass(1000);
-        for (FakeGateway.Counted call : List.copyOf(gateway.counted)) {
+        gateway.advance(1000);
+        for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
             answer(call, call.amount() + BEYOND);
         }
-        gateway.counted.clear();
+        gateway.counterCalls.clear();
     }
 }
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -27,7 +27,7 @@
     private static final Plan LARGE = new Plan("large", 12, 24, 0, 2, 0, 1, 0, 0, 0);
     private static final Plan SMALL = new Plan("small", 1, 4, 0, 1, 0, 1, 0, 0, 0);
 
-    private final List<FakeGateway> all = new ArrayList<>();
+    private final List<GatewayHarness> all = new ArrayList<>();
     private final Map<Integer, Integer> usedIn = new TreeMap<>(); // by number of the metered period
     private final Map<String, Double> counts = new TreeMap<>();
     private final Set<String> ended = new HashSet<>();
@@ -39,8 +39,8 @@
     private void gateways(boolean counter) {
         counterServes = counter;
         for (int i = 0; i < GATEWAYS; i++) {
-            Settings s = FakeGateway.settings(i, GATEWAYS, i);
-            all.add(new FakeGateway(
+            Settings s = GatewayHarness.settings(i, GATEWAYS, i);
+            all.add(new GatewayHarness(
                             0,
                             new Settings(
                                     s.seed(),
@@ -63,32 +63,32 @@
         double owed = 0;
         for (double now = 0; now < DAY_S * 1000; now += STEP_MS) {
             for (owed += demand * plan.rate() * STEP_MS / 1000; owed >= 1; owed--) {
-                all.get(random.nextInt(GATEWAYS)).ask("q" + asked++, "read", plan.name(), 42, 1, GATEWAYS);
+                all.get(random.nextInt(GATEWAYS)).request("q" + asked++, "read", plan.name(), 42, 1, GATEWAYS);
             }
             all.forEach(g -> step(g, plan));
         }
         return ended.size() / (plan.rate() * DAY_S);
     }
 
-    private void step(FakeGateway g, Plan plan) {
+    private void step(GatewayHarness g, Plan plan) {
         int known = (int) Math.floor((g.now - LATE_MS) / PERIOD_MS) - 1;
         int usedPct = known < 0 ? 0 : 1 + (int) (100 * usedIn.getOrDefault(known, 0) / plan.rate());
-        for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+        for (GatewayHarness.SentAttempt s : List.copyOf(g.sent)) {
             if (ended.add(s.id())) {
-                usedIn.merge((int) (s.at() / PERIOD_MS), 1, Integer::sum);
-                g.brain.attemptEnded(
+                usedIn.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
+                g.module.attemptEnded(
                         g.now,
                         new AttemptResult(s.id(), 0, s.host(), Outcome.OK, STEP_MS, true, usedPct, 0, new double[0]));
             }
         }
-        List<FakeGateway.Counted> made = List.copyOf(g.counted);
-        g.counted.clear();
-        for (FakeGateway.Counted c : made) {
+        List<GatewayHarness.CounterCall> made = List.copyOf(g.counterCalls);
+        g.counterCalls.clear();
+        for (GatewayHarness.CounterCall c : made) {
             calls++;
             Outcome end = counterServes ? Outcome.OK : Outcome.TIMEOUT;
-            g.brain.counterCallEnded(g.now, c.counter(), end, counts.merge(c.counter(), c.amount(), Double::sum));
+            g.module.counterCallEnded(g.now, c.counter(), end, counts.merge(c.counter(), c.amount(), Double::sum));
         }
-        g.pass(STEP_MS);
+        g.advance(STEP_MS);
     }
 
     private double refused() {
