--- a/src/test/java/deckfall/ColdFleetTest.java
+++ b/src/test/java/deckfall/ColdFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.ColdFleet.Troubles;
+import deckfall.ColdServerSimulation.Faults;
 import deckfall.Gateway.Rules;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -13,12 +13,14 @@
     private static final Rules LONG = new Rules(8, 250, 4, 2000, 0.15, 18_000, 10_000);
     private static final Rules SHORT = new Rules(8, 250, 2, 1000, 0.2, 10_000, 10_000);
 
-    private static void play(Rules rules, int servers, int cold, Troubles troubles) {
+    private static void play(Rules rules, int servers, int cold, Faults troubles) {
         for (long seed = 101; seed <= 103; seed++) {
-            ColdFleet fleet = new ColdFleet(seed, rules, servers, cold, troubles).play();
-            assertTrue(fleet.mostUsed > 0 && fleet.mostUsed <= 1, seed + ": " + fleet.mostUsed + " of the budget");
+            ColdServerSimulation fleet = new ColdServerSimulation(seed, rules, servers, cold, troubles).run();
+            assertTrue(
+                    fleet.peakBudgetUse > 0 && fleet.peakBudgetUse <= 1,
+                    seed + ": " + fleet.peakBudgetUse + " of the budget");
             assertTrue(fleet.refused > 0, "no request found every place taken");
-            assertTrue(troubles.failing() == 0 || fleet.further > 0, "no further attempt");
+            assertTrue(troubles.failureRate() == 0 || fleet.retries > 0, "no further attempt");
         }
     }
 
@@ -34,7 +36,7 @@
     })
     void whatAllGatewaysSendAColdServerStaysInItsBudget(
             int servers, int cold, double failing, double restarts, boolean allRestart, boolean twoProcesses) {
-        play(LONG, servers, cold, new Troubles(failing, restarts, allRestart, twoProcesses));
+        play(LONG, servers, cold, new Faults(failing, restarts, allRestart, twoProcesses));
     }
 
     /** Further attempts draw anew, so the chances of a cold server add up where many fail or the window is short. */
@@ -52,6 +54,6 @@
     })
     void itStaysInItsBudgetUnderManyFurtherAttempts(
             boolean longWindow, int servers, int cold, double failing, boolean all) {
-        play(longWindow ? LONG : SHORT, servers, cold, new Troubles(failing, 4, all, all));
+        play(longWindow ? LONG : SHORT, servers, cold, new Faults(failing, 4, all, all));
     }
 }
