--- a/src/test/java/deckfall/CallBudgetTest.java
+++ b/src/test/java/deckfall/CallBudgetTest.java
@@ -11,27 +11,28 @@
 class CallBudgetTest {
     private static final double TIMEOUT_MS = 80;
     private static final double STEP_MS = 10;
-    private static final int WISHES = 5; // a second, at each gateway
+    private static final int WANTED_CALLS_PER_S = 5; // a second, at each gateway
 
     private final Random random = new Random(3);
     private double now;
 
     /** Wishes of two worths, as many of each; how many calls each had, before a counter that bears so many a second. */
-    private int[] calls(CallBudget[] fleet, double borne, int seconds, double little, double much) {
+    private int[] simulateCalls(
+            CallBudget[] fleet, double capacityPerSecond, int seconds, double lowSaving, double highSaving) {
         int[] calls = new int[2];
         double queue = 0;
         for (double end = now + seconds * 1000; now < end; now += STEP_MS) {
-            queue = Math.max(0, queue - borne * STEP_MS / 1000);
-            for (CallBudget b : fleet) {
-                b.updateMinPrice(0, 1);
-                if (random.nextDouble() >= STEP_MS * WISHES / 1000) continue;
-                int which = random.nextInt(2);
-                boolean drawn = random.nextDouble() < (which == 0 ? little : much) / b.price(now);
-                if (!drawn || !b.allowsCall(now)) continue;
-                b.recordCall(now);
-                calls[which]++;
-                double took = ++queue / borne * 1000;
-                b.recordAnswer(now, Math.min(TIMEOUT_MS, took), took < TIMEOUT_MS);
+            queue = Math.max(0, queue - capacityPerSecond * STEP_MS / 1000);
+            for (CallBudget budget : fleet) {
+                budget.updateMinPrice(0, 1);
+                if (random.nextDouble() >= STEP_MS * WANTED_CALLS_PER_S / 1000) continue;
+                int kind = random.nextInt(2);
+                boolean drawn = random.nextDouble() < (kind == 0 ? lowSaving : highSaving) / budget.price(now);
+                if (!drawn || !budget.allowsCall(now)) continue;
+                budget.recordCall(now);
+                calls[kind]++;
+                double latencyMs = ++queue / capacityPerSecond * 1000;
+                budget.recordAnswer(now, Math.min(TIMEOUT_MS, latencyMs), latencyMs < TIMEOUT_MS);
             }
         }
         return calls;
@@ -44,30 +45,34 @@
     }
 
     @Test
-    void aFleetFindsWhatTheCounterBearsAndSpendsItWhereItSavesMost() {
+    void fleetConvergesToTheCounterCapacityAndPrefersCallsThatSaveMost() {
         CallBudget[] fleet = fleet(100);
-        calls(fleet, 100, 20, 1, 4);
-        int[] calls = calls(fleet, 100, 20, 1, 4);
+        simulateCalls(fleet, 100, 20, 1, 4);
+        int[] calls = simulateCalls(fleet, 100, 20, 1, 4);
         double perSecond = (calls[0] + calls[1]) / 20.0;
         assertTrue(perSecond > 60 && perSecond < 130, perSecond + " calls a second of 100 that are borne");
         assertTrue(calls[1] > 2 * calls[0], calls[1] + " calls that save much, " + calls[0] + " that save little");
     }
 
     @Test
-    void aCounterThatBearsAllHasAll() {
-        int[] calls = calls(fleet(10), 1000, 20, 1, 4);
-        assertEquals(10 * 20 * WISHES, calls[0] + calls[1], 100);
+    void counterWithSpareCapacityGetsAllCalls() {
+        int[] calls = simulateCalls(fleet(10), 1000, 20, 1, 4);
+        assertEquals(10 * 20 * WANTED_CALLS_PER_S, calls[0] + calls[1], 100);
     }
 
     @Test
-    void aCounterThatIsSilentIsAskedNowAndThenAndFoundAgain() {
+    void silentCounterIsCalledRarelyAndUsedAgainOnceItRecovers() {
         CallBudget[] fleet = fleet(10);
-        calls(fleet, 1000, 10, 1, 4);
-        calls(fleet, 1e-6, 20, 1, 4);
-        int[] silent = calls(fleet, 1e-6, 10, 1, 4);
-        assertTrue(silent[0] + silent[1] <= 10 * 10, silent[0] + silent[1] + " calls of ten gateways in 10 s");
-        calls(fleet, 1000, 15, 1, 4);
-        int[] back = calls(fleet, 1000, 10, 1, 4);
-        assertTrue(back[0] + back[1] > 0.8 * 10 * 10 * WISHES, back[0] + back[1] + " calls of 500 once it is back");
+        simulateCalls(fleet, 1000, 10, 1, 4);
+        simulateCalls(fleet, 1e-6, 20, 1, 4);
+        int[] whileSilent = simulateCalls(fleet, 1e-6, 10, 1, 4);
+        assertTrue(
+                whileSilent[0] + whileSilent[1] <= 10 * 10,
+                whileSilent[0] + whileSilent[1] + " calls of ten gateways in 10 s");
+        simulateCalls(fleet, 1000, 15, 1, 4);
+        int[] afterRecovery = simulateCalls(fleet, 1000, 10, 1, 4);
+        assertTrue(
+                afterRecovery[0] + afterRecovery[1] > 0.8 * 10 * 10 * WANTED_CALLS_PER_S,
+                afterRecovery[0] + afterRecovery[1] + " calls of 500 once it is back");
     }
 }
