--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -19,10 +19,10 @@
     private static final int GATEWAYS = 4;
     private static final Plan SLOW = new Plan("slow", 0.5, 4, 0, 1, 0, 1, 0, 0, 0);
 
-    private GatewayHarness g;
-    private int serial;
+    private GatewayHarness gateway;
+    private int requests;
 
-    private static GatewayHarness gateway(boolean counter) {
+    private static GatewayHarness newGateway(boolean counter) {
         Settings s = GatewayHarness.settings(0, GATEWAYS);
         return new GatewayHarness(
                         0,
@@ -43,128 +43,134 @@
 
     @BeforeEach
     void start() {
-        g = gateway(true);
+        gateway = newGateway(true);
     }
 
-    private String ask() {
-        String id = "q" + serial++;
-        g.request(id, "read", "slow", 42, 1, GATEWAYS);
+    private String request() {
+        String id = "q" + requests++;
+        gateway.request(id, "read", "slow", 42, 1, GATEWAYS);
         return id;
     }
 
-    private GatewayHarness.CounterCall askUntilCounted() {
-        while (g.counterCalls.isEmpty()) {
-            ask();
+    private GatewayHarness.CounterCall requestUntilCounterCall() {
+        while (gateway.counterCalls.isEmpty()) {
+            request();
         }
-        return g.counterCalls.get(g.counterCalls.size() - 1);
+        return gateway.counterCalls.get(gateway.counterCalls.size() - 1);
     }
 
     /** A customer that most gateways see little of would otherwise have less than one request a part. */
     @Test
-    void theFirstRequestOfASmallBurstIsLetIn() {
-        assertEquals(1, g.attemptCount(ask()));
+    void firstRequestOfASmallBurstIsAdmitted() {
+        assertEquals(1, gateway.attemptCount(request()));
     }
 
     @Test
-    void theOwnPartIsSpentBeforeTheCounterIsAsked() {
-        askUntilCounted();
-        assertTrue(g.sent.size() >= 1 && g.sent.size() <= 3, g.sent.size() + " of a burst of 4 let in unasked");
-        assertEquals(List.of(), g.refused);
+    void ownShareIsSpentBeforeTheCounterIsCalled() {
+        requestUntilCounterCall();
+        assertTrue(
+                gateway.sent.size() >= 1 && gateway.sent.size() <= 3,
+                gateway.sent.size() + " of a burst of 4 let in unasked");
+        assertEquals(List.of(), gateway.refused);
     }
 
     @Test
-    void aStoreWithRoomLetsInWhatWaitsForTheCounter() {
-        GatewayHarness.CounterCall call = askUntilCounted();
-        g.module.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
-        assertEquals(1, g.attemptCount("q" + (serial - 1)));
+    void pendingRequestIsAdmittedWhenTheCounterShowsRoom() {
+        GatewayHarness.CounterCall call = requestUntilCounterCall();
+        gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
+        assertEquals(1, gateway.attemptCount("q" + (requests - 1)));
     }
 
     @Test
-    void aStoreThatOthersEmptiedRefusesAndGivesTheWantedUnitsBack() {
-        GatewayHarness.CounterCall call = askUntilCounted();
-        g.module.counterCallEnded(g.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
-        assertEquals(List.of("q" + (serial - 1)), g.refused);
-        assertEquals(List.of(Refusal.QUOTA), g.refusals);
-        ask();
-        assertEquals(2, g.refused.size()); // known to be empty: not asked again
-        assertEquals(1, g.counterCalls.size());
-        g.advance(1000);
-        assertEquals(-1, g.counterCalls.get(1).amount());
+    void requestIsRefusedAndItsUnitsReturnedWhenOthersUsedTheQuota() {
+        GatewayHarness.CounterCall call = requestUntilCounterCall();
+        gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, call.amount() + SLOW.burst());
+        assertEquals(List.of("q" + (requests - 1)), gateway.refused);
+        assertEquals(List.of(Refusal.QUOTA), gateway.refusals);
+        request();
+        assertEquals(2, gateway.refused.size()); // known to be empty: not asked again
+        assertEquals(1, gateway.counterCalls.size());
+        gateway.advance(1000);
+        assertEquals(-1, gateway.counterCalls.get(1).amount());
     }
 
     @Test
-    void withoutAnAnswerTheOwnPartDecidesAndTheCounterGetsEverFewerCalls() {
-        GatewayHarness.CounterCall call = askUntilCounted();
-        g.module.counterCallEnded(g.now, call.counter(), Outcome.TIMEOUT, 0);
-        assertEquals(List.of("q" + (serial - 1)), g.refused);
-        assertEquals(List.of(Refusal.PART), g.refusals);
-        g.counterCalls.clear();
-        ask();
-        g.counterCalls.forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
-        assertEquals(2, g.refused.size());
-        g.counterCalls.clear();
+    void withoutAnswersTheOwnShareDecidesAndTheCounterGetsFewerCalls() {
+        GatewayHarness.CounterCall call = requestUntilCounterCall();
+        gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.TIMEOUT, 0);
+        assertEquals(List.of("q" + (requests - 1)), gateway.refused);
+        assertEquals(List.of(Refusal.PART), gateway.refusals);
+        gateway.counterCalls.clear();
+        request();
+        gateway.counterCalls.forEach(
+                c -> gateway.module.counterCallEnded(gateway.now, c.counter(), Outcome.TIMEOUT, 0));
+        assertEquals(2, gateway.refused.size());
+        gateway.counterCalls.clear();
         int[] calls = new int[2];
         for (int i = 0; i < 400; i++) {
-            ask();
-            g.advance(50);
-            calls[i / 200] += g.counterCalls.size();
-            List.copyOf(g.counterCalls).forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.TIMEOUT, 0));
-            g.counterCalls.clear();
-            assertEquals(serial, g.sent.size() + g.refused.size()); // nothing is held for it
+            request();
+            gateway.advance(50);
+            calls[i / 200] += gateway.counterCalls.size();
+            List.copyOf(gateway.counterCalls)
+                    .forEach(c -> gateway.module.counterCallEnded(gateway.now, c.counter(), Outcome.TIMEOUT, 0));
+            gateway.counterCalls.clear();
+            assertEquals(requests, gateway.sent.size() + gateway.refused.size()); // nothing is held for it
         }
         assertTrue(calls[0] > calls[1] && calls[1] <= 10, calls[0] + " calls in 10 s, then " + calls[1]);
     }
 
     /** A flood of customers that come once must not be called for, nor kept, long after they have gone. */
     @Test
-    void whoHasBeenForgottenIsNotCalledFor() {
+    void evictedCustomersCauseNoCalls() {
         for (int i = 0; i < 200; i++) {
-            String id = "q" + serial++;
-            g.request(id, "read", "slow", 1000 + i, 1, GATEWAYS);
-            g.endAttempt(id, 0, Outcome.OK, 10);
+            String id = "q" + requests++;
+            gateway.request(id, "read", "slow", 1000 + i, 1, GATEWAYS);
+            gateway.endAttempt(id, 0, Outcome.OK, 10);
         }
-        assertTrue(callsTurnedAway(20) > 0);
-        callsTurnedAway(60); // forgotten after a minute, at the next sweep
-        assertEquals(0, callsTurnedAway(400));
+        assertTrue(rejectedCalls(20) > 0);
+        rejectedCalls(60); // forgotten after a minute, at the next sweep
+        assertEquals(0, rejectedCalls(400));
     }
 
-    private int callsTurnedAway(int seconds) {
+    private int rejectedCalls(int seconds) {
         int calls = 0;
         for (int i = 0; i < seconds * 10; i++) {
-            g.advance(100);
-            calls += g.counterCalls.size();
-            List.copyOf(g.counterCalls).forEach(c -> g.module.counterCallEnded(g.now, c.counter(), Outcome.FULL, 0));
-            g.counterCalls.clear();
+            gateway.advance(100);
+            calls += gateway.counterCalls.size();
+            List.copyOf(gateway.counterCalls)
+                    .forEach(call -> gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.FULL, 0));
+            gateway.counterCalls.clear();
         }
         return calls;
     }
 
     /** Before any figure others are taken to use as much as is usual; by a figure of none the store is free. */
     @Test
-    void whatTheMeterLeavesIsLetInWithoutACounter() {
-        g = gateway(false);
-        while (g.refused.isEmpty()) {
-            String id = ask();
-            if (g.refused.isEmpty()) {
-                g.module.attemptEnded(
-                        g.now, new AttemptResult(id, 0, g.hostOf(id), Outcome.OK, 10, true, 1, 0, new double[0]));
+    void quotaLeftByTheMeterIsAdmittedWithoutACounter() {
+        gateway = newGateway(false);
+        while (gateway.refused.isEmpty()) {
+            String id = request();
+            if (gateway.refused.isEmpty()) {
+                gateway.module.attemptEnded(
+                        gateway.now,
+                        new AttemptResult(id, 0, gateway.hostOf(id), Outcome.OK, 10, true, 1, 0, new double[0]));
             }
         }
-        int first = g.sent.size();
-        g.advance(2500); // one unit in the store, a quarter of one in an even part
-        ask();
-        assertEquals(first + 1, g.sent.size());
+        int first = gateway.sent.size();
+        gateway.advance(2500); // one unit in the store, a quarter of one in an even part
+        request();
+        assertEquals(first + 1, gateway.sent.size());
     }
 
     /** Two processes that serve as one gateway let in together what one would. */
     @Test
-    void aSecondProcessGoesOnFromWhatTheFirstOneRemembers() {
-        g = gateway(false);
-        while (g.refused.isEmpty()) {
-            ask();
+    void secondProcessContinuesFromTheStateOfTheFirst() {
+        gateway = newGateway(false);
+        while (gateway.refused.isEmpty()) {
+            request();
         }
-        GatewayHarness second = gateway(false);
-        second.module.restoreCustomers(second.now, g.module.snapshotCustomers(g.now));
+        GatewayHarness second = newGateway(false);
+        second.module.restoreCustomers(second.now, gateway.module.snapshotCustomers(gateway.now));
         second.request("r", "read", "slow", 42, 1, GATEWAYS);
         assertEquals(List.of("r"), second.refused);
         second.request("s", "read", "slow", 43, 1, GATEWAYS);
@@ -172,37 +178,37 @@
     }
 
     @Test
-    void processesShareAPartAndTheSharesEndWithThem() {
-        int alone = letInOver(1);
-        int shared = letInOver(2);
+    void processesSplitTheShareOfTheirGatewayWhileTheyRun() {
+        int alone = admittedByOneOf(1);
+        int shared = admittedByOneOf(2);
         assertTrue(shared < alone && 2 * shared <= alone + 2, "two let in " + shared + " each, one alone " + alone);
     }
 
-    private int letInOver(int processes) {
-        g = gateway(false);
-        while (g.refused.isEmpty()) {
-            ask();
+    private int admittedByOneOf(int processes) {
+        gateway = newGateway(false);
+        while (gateway.refused.isEmpty()) {
+            request();
         }
-        int first = g.sent.size();
-        g.sent.forEach(s -> g.endAttempt(s.id(), 0, Outcome.OK, 1));
-        g.module.processCountChanged(g.now, 3);
-        g.module.processCountChanged(g.now, processes);
+        int first = gateway.sent.size();
+        gateway.sent.forEach(s -> gateway.endAttempt(s.id(), 0, Outcome.OK, 1));
+        gateway.module.processCountChanged(gateway.now, 3);
+        gateway.module.processCountChanged(gateway.now, processes);
         for (int i = 0; i < 400; i++) {
-            g.advance(200);
-            String id = ask();
-            if (g.attemptCount(id) > 0) {
-                g.endAttempt(id, 0, Outcome.OK, 1);
+            gateway.advance(200);
+            String id = request();
+            if (gateway.attemptCount(id) > 0) {
+                gateway.endAttempt(id, 0, Outcome.OK, 1);
             }
         }
-        return g.sent.size() - first;
+        return gateway.sent.size() - first;
     }
 
     /** Nothing tells there what the others of the set hold: all would take the same units to be free. */
     @Test
-    void withoutAMeterAGuessIsLeftToThePlansWhoseExcessCostsLittle() {
+    void withoutAMeterOnlyPlansWithLowExcessCostAreAdmittedOnAnEstimate() {
         Settings s = GatewayHarness.settings(0, GATEWAYS);
         Plan cheap = new Plan("cheap", SLOW.rate(), SLOW.burst(), 0, 1, 0, 0.1, 0, 0, 0);
-        g = new GatewayHarness(
+        gateway = new GatewayHarness(
                         0,
                         new Settings(
                                 s.seed(),
@@ -217,12 +223,12 @@
                                 s.rules(),
                                 new Coordination(true, 0, 80, 0, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
-        askUntilCounted();
-        assertEquals(1, g.sent.size()); // its part of the burst, and no more unasked
-        g.counterCalls.clear();
-        while (g.counterCalls.isEmpty()) {
-            g.request("c" + serial++, "read", "cheap", 43, 1, GATEWAYS);
+        requestUntilCounterCall();
+        assertEquals(1, gateway.sent.size()); // its part of the burst, and no more unasked
+        gateway.counterCalls.clear();
+        while (gateway.counterCalls.isEmpty()) {
+            gateway.request("c" + requests++, "read", "cheap", 43, 1, GATEWAYS);
         }
-        assertTrue(g.sent.size() > 2, g.sent.size() + " let in, two of them by the even parts");
+        assertTrue(gateway.sent.size() > 2, gateway.sent.size() + " let in, two of them by the even parts");
     }
 }
