--- a/src/test/java/deckfall/MeterTest.java
+++ b/src/test/java/deckfall/MeterTest.java
@@ -21,16 +21,16 @@
     private static final int GATEWAYS = 4;
     private static final double STEP_MS = 10;
     private static final double PERIOD_MS = 1000;
-    private static final double LATE_MS = 800;
+    private static final double METER_DELAY_MS = 800;
     private static final Plan WIDE = new Plan("wide", 20, 20, 0, 1, 0, 1, 0, 0, 0);
 
     private final List<GatewayHarness> all = new ArrayList<>();
-    private final TreeMap<Integer, Integer> usedIn = new TreeMap<>(); // by number of the metered period
+    private final TreeMap<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by number of the metered period
     private final Set<String> ended = new HashSet<>();
-    private int serial;
+    private int requests;
 
     @BeforeEach
-    void gateways() {
+    void startGateways() {
         for (int i = 0; i < GATEWAYS; i++) {
             Settings s = GatewayHarness.settings(i, GATEWAYS);
             all.add(new GatewayHarness(
@@ -55,21 +55,21 @@
         return all.get(0).now;
     }
 
-    private void ask(int gateway, Plan plan) {
-        all.get(gateway).request("q" + serial++, "read", plan.name(), 42, 1, GATEWAYS);
+    private void request(int gateway, Plan plan) {
+        all.get(gateway).request("q" + requests++, "read", plan.name(), 42, 1, GATEWAYS);
     }
 
     /** Lets a step pass: what was sent in it is metered, and answered with the last total that is known. */
-    private void step() {
-        int known = (int) Math.floor((now() - LATE_MS) / PERIOD_MS) - 1;
-        int usedPct = known < 0 ? 0 : 1 + (int) (100 * usedIn.getOrDefault(known, 0) / WIDE.rate());
-        for (GatewayHarness g : all) {
-            g.advance(STEP_MS);
-            for (GatewayHarness.SentAttempt s : List.copyOf(g.sent)) {
-                if (ended.add(g.hashCode() + s.id())) {
-                    usedIn.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
-                    g.module.attemptEnded(
-                            g.now,
+    private void advanceOneStep() {
+        int known = (int) Math.floor((now() - METER_DELAY_MS) / PERIOD_MS) - 1;
+        int usedPct = known < 0 ? 0 : 1 + (int) (100 * unitsByPeriod.getOrDefault(known, 0) / WIDE.rate());
+        for (GatewayHarness gateway : all) {
+            gateway.advance(STEP_MS);
+            for (GatewayHarness.SentAttempt s : List.copyOf(gateway.sent)) {
+                if (ended.add(gateway.hashCode() + s.id())) {
+                    unitsByPeriod.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
+                    gateway.module.attemptEnded(
+                            gateway.now,
                             new AttemptResult(
                                     s.id(), 0, s.host(), Outcome.OK, STEP_MS, true, usedPct, 0, new double[0]));
                 }
@@ -78,14 +78,14 @@
     }
 
     /** Units sent on in so many seconds while each named gateway is asked for as much as the whole quota. */
-    private int flood(int seconds, int... at) {
+    private int sentUnderLoad(int seconds, int... loadedGateways) {
         int before = ended.size();
         double perStep = WIDE.rate() * STEP_MS / 1000;
         double due = 0;
-        for (double end = now() + seconds * 1000; now() < end; step()) {
+        for (double end = now() + seconds * 1000; now() < end; advanceOneStep()) {
             for (due += perStep; due >= 1; due--) {
-                for (int g : at) {
-                    ask(g, WIDE);
+                for (int gateway : loadedGateways) {
+                    request(gateway, WIDE);
                 }
             }
         }
@@ -94,33 +94,33 @@
 
     /** All gateways of a set raise their parts on the same word, and each answer repeats that word. */
     @Test
-    void partsRaisedByTheMeterStayNearOneInAll() {
-        flood(5, 0, 1, 2, 3); // the burst is gone, and the parts have settled
-        double over = flood(30, 0, 1, 2, 3) / (30 * WIDE.rate());
+    void sharesRaisedByTheMeterSumToAboutTheQuota() {
+        sentUnderLoad(5, 0, 1, 2, 3); // the burst is gone, and the parts have settled
+        double over = sentUnderLoad(30, 0, 1, 2, 3) / (30 * WIDE.rate());
         assertTrue(over >= 0.9 && over <= 1.1, "sent on " + over + " of the quota");
     }
 
     @Test
-    void aPartFollowsTheTrafficToAnotherGateway() {
-        flood(6, 0);
-        flood(4, 2);
-        double moved = flood(10, 2) / (10 * WIDE.rate());
+    void shareFollowsTheTrafficToAnotherGateway() {
+        sentUnderLoad(6, 0);
+        sentUnderLoad(4, 2);
+        double moved = sentUnderLoad(10, 2) / (10 * WIDE.rate());
         assertTrue(moved >= 0.85 && moved <= 1.1, "sent on " + moved + " of the quota");
     }
 
     /** A client that comes back when it was told to must find what it was told of. */
     @Test
-    void aRefusalTellsWhenTheOwnBucketWillHaveFilled() {
-        GatewayHarness g = all.get(0);
-        while (g.refused.isEmpty()) {
-            ask(0, WIDE);
+    void retryAfterOfARefusalCoversTheRefillOfTheOwnBucket() {
+        GatewayHarness gateway = all.get(0);
+        while (gateway.refused.isEmpty()) {
+            request(0, WIDE);
         }
-        String[] words = g.log.get(g.log.size() - 1).split(" ");
+        String[] words = gateway.log.get(gateway.log.size() - 1).split(" ");
         assertTrue(words[1].equals("refuse") && Double.parseDouble(words[3]) > 0, String.join(" ", words));
-        g.sent.forEach(s -> g.endAttempt(s.id(), 0, Outcome.OK, STEP_MS));
-        int before = g.sent.size();
-        g.advance(Double.parseDouble(words[3]));
-        ask(0, WIDE);
-        assertTrue(g.sent.size() > before, "refused again after " + words[3] + " ms");
+        gateway.sent.forEach(s -> gateway.endAttempt(s.id(), 0, Outcome.OK, STEP_MS));
+        int before = gateway.sent.size();
+        gateway.advance(Double.parseDouble(words[3]));
+        request(0, WIDE);
+        assertTrue(gateway.sent.size() > before, "refused again after " + words[3] + " ms");
     }
 }
