--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -15,18 +15,19 @@
 class ScarceCounterTest {
     private static final int GATEWAYS = 60;
     private static final long CUSTOMER = 42;
-    private static final double BURST = 4;
+    private static final double BURST_UNITS = 4;
     private static final long WINDOW_MS = 60_000; // of a count
-    private static final double BEYOND = 2 * (BURST + WINDOW_MS / 1000.0); // no store holds anything then
-    private static final double RATE = 1;
-    private static final double RECALL_MS = 2 * 1000 * BURST; // for which an answer tells of the store
+    private static final double UNITS_BEYOND_ANY_QUOTA =
+            2 * (BURST_UNITS + WINDOW_MS / 1000.0); // no store holds anything then
+    private static final double UNITS_PER_S = 1;
+    private static final double ANSWER_VALID_MS = 2 * 1000 * BURST_UNITS; // for which an answer tells of the store
 
     private GatewayHarness gateway;
     private int requests;
 
     /** Excess costs a share of its worth, so that it pays to let in more or fewer on a guess. */
     private void start(double excessCost) {
-        Plan plan = new Plan("small", RATE, BURST, 0, 1, 0, excessCost, 0, 0, 0);
+        Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
         Settings s = GatewayHarness.settings(0, GATEWAYS);
         gateway = new GatewayHarness(
                         0,
@@ -50,7 +51,7 @@
     }
 
     /** Requests of one customer until one of them is called for. */
-    private GatewayHarness.CounterCall callFor(long customer) {
+    private GatewayHarness.CounterCall requestUntilCallFor(long customer) {
         for (int i = 0; i < 1000; i++) {
             request(customer);
             List<GatewayHarness.CounterCall> calls = List.copyOf(gateway.counterCalls);
@@ -79,33 +80,33 @@
     }
 
     /** What the customer may have used since the count's window began. */
-    private double allowed(long customer, GatewayHarness.CounterCall call) {
+    private double allowedUnits(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
-        return BURST + RATE * elapsedMs / 1000;
+        return BURST_UNITS + UNITS_PER_S * elapsedMs / 1000;
     }
 
     @Test
-    void aCustomerThatTheCounterHasJustRefusedIsNotAskedForAgain() {
+    void recentlyRefusedCustomerCausesNoFurtherCall() {
         start(1);
-        GatewayHarness.CounterCall call = callFor(CUSTOMER);
-        answer(call, call.amount() + BEYOND);
-        settle();
+        GatewayHarness.CounterCall call = requestUntilCallFor(CUSTOMER);
+        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+        answerCallsThatReturnUnits();
         int refused = gateway.refused.size();
-        for (double waited = 0; waited < RECALL_MS - 1000; waited += 500) {
+        for (double elapsedMs = 0; elapsedMs < ANSWER_VALID_MS - 1000; elapsedMs += 500) {
             request(CUSTOMER);
             gateway.advance(500);
         }
         assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
-        assertTrue(gateway.refused.size() - refused >= RECALL_MS / 500 - 3);
+        assertTrue(gateway.refused.size() - refused >= ANSWER_VALID_MS / 500 - 3);
     }
 
     /** What the call took for a request that was then refused, and for those that it stands for, is given back. */
     @Test
-    void unitsOfARefusedCallAreGivenBack() {
+    void unitsOfARefusedCallAreReturned() {
         start(0.5);
-        GatewayHarness.CounterCall call = callThatStandsForOthers();
-        answer(call, call.amount() + BEYOND);
+        GatewayHarness.CounterCall call = requestUntilSampledCall();
+        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         gateway.advance(3000);
         double given = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
@@ -115,7 +116,7 @@
     }
 
     /** Many customers ask at once, so that not every request can be called for. */
-    private GatewayHarness.CounterCall callThatStandsForOthers() {
+    private GatewayHarness.CounterCall requestUntilSampledCall() {
         for (int i = 0; i < 2000; i++) {
             request(1000 + i);
             List<GatewayHarness.CounterCall> calls = List.copyOf(gateway.counterCalls);
@@ -124,7 +125,7 @@
                 if (call.amount() > 1.5) {
                     return call;
                 }
-                answer(call, allowed(1000 + i, call) - BURST + call.amount());
+                answer(call, allowedUnits(1000 + i, call) - BURST_UNITS + call.amount());
             }
             gateway.advance(2);
         }
@@ -132,10 +133,10 @@
     }
 
     /** Units that wait to be given back are told. */
-    private void settle() {
+    private void answerCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
-            answer(call, call.amount() + BEYOND);
+            answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         }
         gateway.counterCalls.clear();
     }
