--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -22,22 +22,22 @@
     private static final int GATEWAYS = 60;
     private static final double STEP_MS = 10;
     private static final double PERIOD_MS = 1000;
-    private static final double LATE_MS = 800;
-    private static final int DAY_S = 40;
+    private static final double METER_DELAY_MS = 800;
+    private static final int RUN_SECONDS = 40;
     private static final Plan LARGE = new Plan("large", 12, 24, 0, 2, 0, 1, 0, 0, 0);
     private static final Plan SMALL = new Plan("small", 1, 4, 0, 1, 0, 1, 0, 0, 0);
 
     private final List<GatewayHarness> all = new ArrayList<>();
-    private final Map<Integer, Integer> usedIn = new TreeMap<>(); // by number of the metered period
-    private final Map<String, Double> counts = new TreeMap<>();
+    private final Map<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by number of the metered period
+    private final Map<String, Double> counterTotals = new TreeMap<>();
     private final Set<String> ended = new HashSet<>();
     private final Random random = new Random(5);
-    private int asked;
+    private int requests;
     private int calls;
-    private boolean counterServes;
+    private boolean counterAnswers;
 
-    private void gateways(boolean counter) {
-        counterServes = counter;
+    private void startGateways(boolean counter) {
+        counterAnswers = counter;
         for (int i = 0; i < GATEWAYS; i++) {
             Settings s = GatewayHarness.settings(i, GATEWAYS, i);
             all.add(new GatewayHarness(
@@ -59,75 +59,76 @@
     }
 
     /** One customer that asks for so many times its rate; how much was sent, in times of what the rate gives. */
-    private double sentOver(Plan plan, double demand) {
-        double owed = 0;
-        for (double now = 0; now < DAY_S * 1000; now += STEP_MS) {
-            for (owed += demand * plan.rate() * STEP_MS / 1000; owed >= 1; owed--) {
-                all.get(random.nextInt(GATEWAYS)).request("q" + asked++, "read", plan.name(), 42, 1, GATEWAYS);
+    private double sentInTimesOfQuota(Plan plan, double demand) {
+        double due = 0;
+        for (double now = 0; now < RUN_SECONDS * 1000; now += STEP_MS) {
+            for (due += demand * plan.rate() * STEP_MS / 1000; due >= 1; due--) {
+                all.get(random.nextInt(GATEWAYS)).request("q" + requests++, "read", plan.name(), 42, 1, GATEWAYS);
             }
-            all.forEach(g -> step(g, plan));
+            all.forEach(gateway -> advanceOneStep(gateway, plan));
         }
-        return ended.size() / (plan.rate() * DAY_S);
+        return ended.size() / (plan.rate() * RUN_SECONDS);
     }
 
-    private void step(GatewayHarness g, Plan plan) {
-        int known = (int) Math.floor((g.now - LATE_MS) / PERIOD_MS) - 1;
-        int usedPct = known < 0 ? 0 : 1 + (int) (100 * usedIn.getOrDefault(known, 0) / plan.rate());
-        for (GatewayHarness.SentAttempt s : List.copyOf(g.sent)) {
+    private void advanceOneStep(GatewayHarness gateway, Plan plan) {
+        int known = (int) Math.floor((gateway.now - METER_DELAY_MS) / PERIOD_MS) - 1;
+        int usedPct = known < 0 ? 0 : 1 + (int) (100 * unitsByPeriod.getOrDefault(known, 0) / plan.rate());
+        for (GatewayHarness.SentAttempt s : List.copyOf(gateway.sent)) {
             if (ended.add(s.id())) {
-                usedIn.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
-                g.module.attemptEnded(
-                        g.now,
+                unitsByPeriod.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
+                gateway.module.attemptEnded(
+                        gateway.now,
                         new AttemptResult(s.id(), 0, s.host(), Outcome.OK, STEP_MS, true, usedPct, 0, new double[0]));
             }
         }
-        List<GatewayHarness.CounterCall> made = List.copyOf(g.counterCalls);
-        g.counterCalls.clear();
-        for (GatewayHarness.CounterCall c : made) {
+        List<GatewayHarness.CounterCall> newCalls = List.copyOf(gateway.counterCalls);
+        gateway.counterCalls.clear();
+        for (GatewayHarness.CounterCall call : newCalls) {
             calls++;
-            Outcome end = counterServes ? Outcome.OK : Outcome.TIMEOUT;
-            g.module.counterCallEnded(g.now, c.counter(), end, counts.merge(c.counter(), c.amount(), Double::sum));
+            Outcome end = counterAnswers ? Outcome.OK : Outcome.TIMEOUT;
+            gateway.module.counterCallEnded(
+                    gateway.now, call.counter(), end, counterTotals.merge(call.counter(), call.amount(), Double::sum));
         }
-        g.advance(STEP_MS);
+        gateway.advance(STEP_MS);
     }
 
-    private double refused() {
-        return all.stream().mapToInt(g -> g.refused.size()).sum() / (double) asked;
+    private double refusedShare() {
+        return all.stream().mapToInt(gateway -> gateway.refused.size()).sum() / (double) requests;
     }
 
     @Test
-    void theQuotaWhoseExcessCostsMostHoldsByTheCounter() {
-        gateways(true);
-        double sent = sentOver(LARGE, 3);
+    void counterHoldsTheQuotaWithTheHighestExcessCost() {
+        startGateways(true);
+        double sent = sentInTimesOfQuota(LARGE, 3);
         assertTrue(sent > 0.8 && sent < 1.45, sent + " times the quota sent");
     }
 
     /** What was gone of the burst stays gone as time goes on. */
     @Test
-    void aNewWindowBringsNoBurstAnew() {
-        gateways(true);
-        double sent = sentOver(LARGE, 6);
+    void newCounterWindowGrantsNoSecondBurst() {
+        startGateways(true);
+        double sent = sentInTimesOfQuota(LARGE, 6);
         assertTrue(sent < 1.47, sent + " times the quota sent");
     }
 
     @Test
-    void anyQuotaHoldsByACounterThatBearsTheCalls() {
-        gateways(true);
-        double sent = sentOver(SMALL, 3);
+    void counterWithEnoughCapacityHoldsAnyQuota() {
+        startGateways(true);
+        double sent = sentInTimesOfQuota(SMALL, 3);
         assertTrue(sent > 0.8 && sent < 1.45, sent + " times the quota sent");
     }
 
     @Test
-    void useInsideTheQuotaIsLetIn() {
-        gateways(true);
-        sentOver(LARGE, 0.6);
-        assertTrue(refused() < 0.04, refused() + " refused");
+    void requestsWithinTheQuotaAreAdmitted() {
+        startGateways(true);
+        sentInTimesOfQuota(LARGE, 0.6);
+        assertTrue(refusedShare() < 0.04, refusedShare() + " refused");
     }
 
     @Test
-    void useInsideTheQuotaIsLetInWithoutTheCounterToo() {
-        gateways(false);
-        sentOver(LARGE, 0.6);
-        assertTrue(refused() < 0.04, refused() + " refused");
+    void requestsWithinTheQuotaAreAdmittedWithoutTheCounter() {
+        startGateways(false);
+        sentInTimesOfQuota(LARGE, 0.6);
+        assertTrue(refusedShare() < 0.04, refusedShare() + " refused");
     }
 }
