--- a/src/test/java/deckfall/DecisionsTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Release, weights, host health, determinism and the layout of the policy files. */
-class DecisionsTest {
+class DecisionModuleTest {
     private static final int MAX_LINE_WIDTH = 120; // the formatter's
 
     private static ClassState state(RequestClass spec, double weight, double delay, double slope) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void donationKeepsTheSumAndFavoursTheWorst() {
+    void donationKeepsTheSumOfWeightsAndFavoursTheSlowestClass() {
         ClassState slow = state(GatewayHarness.READ, 0.3, 1500, 2000);
         ClassState easy = state(GatewayHarness.PAY, 0.4, 100, 2000);
         ClassState idle = state(GatewayHarness.ORDER, 0.3, 300, 2000);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void donationIsClampedToWhatKeepsTheDonorContent() {
+    void donationLeavesTheDonorWithinItsDelayGoal() {
         ClassState slow = state(GatewayHarness.READ, 0.5, 60_000, 100);
         ClassState donor = state(GatewayHarness.PAY, 0.5, 500, 1000);
         DecisionModule.donateWeight(List.of(slow, donor));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void weightsStayPositiveAndFreezeWhenAllSuffer() {
+    void weightsStayPositiveAndDoNotChangeWhenAllClassesMissTheirGoals() {
         ClassState a = state(GatewayHarness.READ, 0.03, 10, 0.0001);
         ClassState b = state(GatewayHarness.PAY, 0.97, 9000, 10);
         DecisionModule.donateWeight(List.of(a, b));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aBadSlopeKeepsTheLastGoodOne() {
+    void implausibleSlopeIsDiscarded() {
         ClassState c = state(GatewayHarness.READ, 0.5, 800, 1234);
         c.previousWeight = 0.4;
         c.previousDelay = 700; // more weight, more delay: the wrong sign
@@ -81,84 +81,88 @@
     }
 
     @Test
-    void inFlightIsBoundedAndTheRestIsHeldOrRefused() {
+    void attemptsInFlightAreBoundedAndOtherRequestsAreHeldOrRefused() {
         // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2");
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
-            g.request("r" + i, "read");
+            gateway.request("r" + i, "read");
         }
-        assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "sent " + g.sent.size());
-        g.advance(1000);
-        assertTrue(g.refused.size() >= 150);
+        assertTrue(gateway.sent.size() >= 4 && gateway.sent.size() <= 40, "sent " + gateway.sent.size());
+        gateway.advance(1000);
+        assertTrue(gateway.refused.size() >= 150);
     }
 
     @Test
-    void aPlaceFreedGoesToAHeldRequest() {
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1");
+    void freedPlaceGoesToAHeldRequest() {
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1");
         for (int i = 0; i < 30; i++) {
-            g.request("r" + i, "read");
+            gateway.request("r" + i, "read");
         }
-        int before = g.sent.size();
-        g.advance(10);
-        g.endAttempt("r0", 0, Outcome.OK, 10);
-        assertEquals(before + 1, g.sent.size());
+        int before = gateway.sent.size();
+        gateway.advance(10);
+        gateway.endAttempt("r0", 0, Outcome.OK, 10);
+        assertEquals(before + 1, gateway.sent.size());
     }
 
     @Test
-    void aHostThatFailsFastDoesNotLookIdle() {
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
+    void hostThatFailsFastIsNotPreferred() {
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
-            g.request(id, "read");
-            boolean bad = g.hostOf(id).equals("a1");
-            g.advance(bad ? 1 : 30);
-            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
-            if (bad && g.attemptCount(id) > 1) {
-                g.endAttempt(id, 1, Outcome.OK, 30);
+            gateway.request(id, "read");
+            boolean bad = gateway.hostOf(id).equals("a1");
+            gateway.advance(bad ? 1 : 30);
+            gateway.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
+            if (bad && gateway.attemptCount(id) > 1) {
+                gateway.endAttempt(id, 1, Outcome.OK, 30);
             }
         }
-        assertTrue(g.sent.stream().filter(s -> s.host().equals("a1")).count() < 10);
+        assertTrue(gateway.sent.stream().filter(s -> s.host().equals("a1")).count() < 10);
     }
 
     @Test
-    void anOverdueAttemptIsCalledBackWhereItMayRunElsewhere() {
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "b1", "b2");
+    void overdueAttemptIsCancelledOnlyWhereItMayBeRepeated() {
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
-            g.request("w" + i, "read");
-            g.advance(20);
-            g.endAttempt("w" + i, 0, Outcome.OK, 20);
+            gateway.request("w" + i, "read");
+            gateway.advance(20);
+            gateway.endAttempt("w" + i, 0, Outcome.OK, 20);
         }
-        g.request("r", "read");
-        g.request("p", "pay");
-        String stuck = g.hostOf("r");
-        g.advance(700);
-        assertEquals(List.of("r"), g.cancelled); // what must not run twice is left to run
-        g.endAttempt("r", 0, Outcome.CANCELLED, 700);
-        assertNotEquals(stuck, g.hostOf("r"));
-        assertEquals(1, g.attemptCount("p"));
+        gateway.request("r", "read");
+        gateway.request("p", "pay");
+        String stuck = gateway.hostOf("r");
+        gateway.advance(700);
+        assertEquals(List.of("r"), gateway.cancelled); // what must not run twice is left to run
+        gateway.endAttempt("r", 0, Outcome.CANCELLED, 700);
+        assertNotEquals(stuck, gateway.hostOf("r"));
+        assertEquals(1, gateway.attemptCount("p"));
     }
 
     @Test
-    void manyGatewaysDoNotGatherOnOneHost() {
+    void manyGatewaysSpreadTheirRequestsOverTheHosts() {
         // each knows next to nothing of the hosts: the best by own counts would be the same for all
         String[] hosts = IntStream.range(0, 60)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
                 .toArray(String[]::new);
-        Map<String, Integer> got = new TreeMap<>();
-        for (int me = 0; me < 300; me++) {
-            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 300, me)).withHosts(hosts);
+        Map<String, Integer> attemptsByHost = new TreeMap<>();
+        for (int gatewayNumber = 0; gatewayNumber < 300; gatewayNumber++) {
+            GatewayHarness gateway = new GatewayHarness(
+                            1000, GatewayHarness.settings(gatewayNumber, 300, gatewayNumber))
+                    .withHosts(hosts);
             for (int i = 0; i < 3; i++) {
-                g.request("r" + i, "read");
+                gateway.request("r" + i, "read");
             }
-            g.sent.forEach(s -> got.merge(s.host(), 1, Integer::sum));
+            gateway.sent.forEach(s -> attemptsByHost.merge(s.host(), 1, Integer::sum));
         }
-        int total = got.values().stream().mapToInt(n -> n).sum();
+        int total = attemptsByHost.values().stream().mapToInt(n -> n).sum();
         assertTrue(total >= 600, "sent " + total);
-        assertTrue(got.values().stream().allMatch(n -> n < 3 * total / 60) && got.size() > 55, got.toString());
+        assertTrue(
+                attemptsByHost.values().stream().allMatch(n -> n < 3 * total / 60) && attemptsByHost.size() > 55,
+                attemptsByHost.toString());
     }
 
     @Test
-    void aHostJustStartedIsNotPushedOverByHundredsOfGateways() {
+    void hundredsOfGatewaysDoNotOverloadAHostThatJustStarted() {
         // one free send a gateway would be hundreds at once (rule 4)
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -166,119 +170,126 @@
         }
         int cold = 0;
         int total = 0;
-        for (int me = 0; me < 300; me++) {
-            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 300, me));
-            g.module.hostsUpdated(g.now, HostListKind.FULL, hosts);
+        for (int gatewayNumber = 0; gatewayNumber < 300; gatewayNumber++) {
+            GatewayHarness gateway =
+                    new GatewayHarness(1000, GatewayHarness.settings(gatewayNumber, 300, gatewayNumber));
+            gateway.module.hostsUpdated(gateway.now, HostListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
-                g.request("r" + i, "read");
+                gateway.request("r" + i, "read");
             }
-            total += g.sent.size();
-            cold += (int) g.sent.stream().filter(s -> s.host().equals("a7")).count();
+            total += gateway.sent.size();
+            cold += (int)
+                    gateway.sent.stream().filter(s -> s.host().equals("a7")).count();
         }
         // a fifth of what the others get, times the multiple of two, is the most
         assertTrue(cold < 0.4 * total / 60, cold + " of " + total);
     }
 
     @Test
-    void aHostThatFailsOneClassStillServesTheOthers() {
+    void hostThatFailsOneClassStillServesTheOthers() {
         // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         int orders = 0;
         int reads = 0;
         for (int i = 0; i < 120; i++) {
             String cls = i % 2 == 0 ? "pay" : "read";
             String id = cls + i;
-            g.request(id, cls);
-            boolean bad = g.hostOf(id).equals("a1") && i % 2 == 0;
+            gateway.request(id, cls);
+            boolean bad = gateway.hostOf(id).equals("a1") && i % 2 == 0;
             orders += bad && i >= 30 ? 1 : 0;
-            reads += g.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
-            g.advance(20);
-            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
+            reads += gateway.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
+            gateway.advance(20);
+            gateway.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
         }
         assertTrue(orders < 5, "failing class sent on " + orders);
         assertTrue(reads > 15, "other class kept away, " + reads);
     }
 
     @Test
-    void hundredsOfGatewaysKeepToEquallyManyHostsEach() {
+    void hundredsOfGatewaysSpreadTheirConnectionsEvenly() {
         // i2e3387: every gateway met every host, and tables full of idle connections refused new ones
         String[] hosts = IntStream.range(0, 65)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
                 .toArray(String[]::new);
-        Map<String, Integer> met = new TreeMap<>();
-        for (int me = 0; me < 379; me++) {
-            GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(me, 379, me)).withHosts(hosts);
+        Map<String, Integer> gatewaysByHost = new TreeMap<>();
+        for (int gatewayNumber = 0; gatewayNumber < 379; gatewayNumber++) {
+            GatewayHarness gateway = new GatewayHarness(
+                            1000, GatewayHarness.settings(gatewayNumber, 379, gatewayNumber))
+                    .withHosts(hosts);
             for (int i = 0; i < 200; i++) {
-                g.request("r" + i, "read");
-                g.advance(20);
-                g.endAttempt("r" + i, 0, Outcome.OK, 20);
+                gateway.request("r" + i, "read");
+                gateway.advance(20);
+                gateway.endAttempt("r" + i, 0, Outcome.OK, 20);
             }
-            g.sent.stream()
+            gateway.sent.stream()
                     .map(GatewayHarness.SentAttempt::host)
                     .distinct()
-                    .forEach(h -> met.merge(h, 1, Integer::sum));
+                    .forEach(h -> gatewaysByHost.merge(h, 1, Integer::sum));
         }
-        assertTrue(met.size() == 65 && met.values().stream().allMatch(n -> n <= 50), met.toString());
+        assertTrue(
+                gatewaysByHost.size() == 65 && gatewaysByHost.values().stream().allMatch(n -> n <= 50),
+                gatewaysByHost.toString());
     }
 
     @Test
-    void aHostThatTakesNoConnectionIsLeftAloneAtOnce() {
+    void hostThatRefusesAConnectionIsAvoidedAtOnce() {
         // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
-        g.request("r", "read");
-        String full = g.hostOf("r");
-        g.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
+        gateway.request("r", "read");
+        String full = gateway.hostOf("r");
+        gateway.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
         for (int i = 0; i < 9; i++) {
-            g.request("x" + i, "read");
+            gateway.request("x" + i, "read");
         }
-        assertEquals(1, g.sent.stream().filter(s -> s.host().equals(full)).count());
+        assertEquals(1, gateway.sent.stream().filter(s -> s.host().equals(full)).count());
     }
 
     @Test
-    void whenMostLookBadServiceGoesOn() {
-        GatewayHarness g = GatewayHarness.singleGateway().withHosts("a1", "b1");
+    void requestsAreStillSentWhenAllHostsLookUnhealthy() {
+        GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
-            g.request("r" + i, "read");
-            for (int n = 0; n < g.attemptCount("r" + i); n++) {
-                g.endAttempt("r" + i, n, Outcome.CONNECT_FAILED, 1);
+            gateway.request("r" + i, "read");
+            for (int n = 0; n < gateway.attemptCount("r" + i); n++) {
+                gateway.endAttempt("r" + i, n, Outcome.CONNECT_FAILED, 1);
             }
         }
-        g.advance(20);
-        int before = g.sent.size();
-        g.request("x", "read");
-        assertTrue(g.sent.size() > before);
+        gateway.advance(20);
+        int before = gateway.sent.size();
+        gateway.request("x", "read");
+        assertTrue(gateway.sent.size() > before);
     }
 
     @Test
-    void equalEventsGiveEqualActions() {
-        assertEquals(story(3), story(3));
-        assertFalse(story(3).isEmpty());
+    void equalEventsProduceEqualActions() {
+        assertEquals(playRandomEvents(3), playRandomEvents(3));
+        assertFalse(playRandomEvents(3).isEmpty());
     }
 
-    private static List<String> story(long seed) {
-        GatewayHarness g = new GatewayHarness(1000, GatewayHarness.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
+    private static List<String> playRandomEvents(long seed) {
+        GatewayHarness gateway =
+                new GatewayHarness(1000, GatewayHarness.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
         List<String> open = new ArrayList<>();
         String[] classes = {"read", "pay", "order"};
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            g.request(
+            gateway.request(
                     id,
                     classes[random.nextInt(3)],
                     random.nextBoolean() ? "small" : "free",
                     random.nextInt(20),
                     1 + random.nextInt(4),
                     3);
-            if (g.attemptCount(id) > 0) {
+            if (gateway.attemptCount(id) > 0) {
                 open.add(id);
             }
-            g.advance(random.nextInt(30));
+            gateway.advance(random.nextInt(30));
             if (!open.isEmpty() && random.nextInt(3) > 0) {
                 String done = open.remove(random.nextInt(open.size()));
-                g.endAttempt(done, 0, Outcome.values()[random.nextInt(6)], 20);
+                gateway.endAttempt(done, 0, Outcome.values()[random.nextInt(6)], 20);
             }
         }
-        return g.log;
+        return gateway.log;
     }
 
     @Test
