--- a/src/test/java/deckfall/wire/WireHostTest.java
+++ b/src/test/java/deckfall/wire/WireHostTest.java
@@ -49,19 +49,19 @@
     }
 
     @Test
-    void refusesBeyondTheQuota() throws IOException {
+    void refusesRequestsBeyondTheQuota() throws IOException {
         String reply = run(START + batch(2, 1001, DEMAND.replace("size_units=2", "size_units=11")));
         assertTrue(reply.contains("OVERLOAD_REPLY op_id=r-1"), reply);
     }
 
     @Test
-    void aKilledInstanceForgetsAll() throws IOException {
+    void killedInstanceLosesItsState() throws IOException {
         String reply = run(START + batch(2, 1001, DEMAND + "KILL\n" + ATTACH) + batch(3, 1002, "DUE cookie=x\n"));
         assertTrue(reply.endsWith("YIELD turn=3\n"), reply);
     }
 
     @Test
-    void namesTheLineAndTheFault() {
+    void errorsNameTheLineAndTheFault() {
         String[][] cases = {
             {"HELLO\n", "line 1: expected BEGIN_BATCH, found 'HELLO'"},
             {"BEGIN_BATCH moment_ms=x turn=1\nCOMMIT\n", "line 1: bad number in 'moment_ms': 'x'"},
