--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -15,7 +15,7 @@
 
     public static void main(String[] args) throws IOException {
         if (args.length > 0 && args[0].equals("scale")) {
-            System.exit(deckfall.scale.Scale.run(Arrays.copyOfRange(args, 1, args.length)));
+            System.exit(deckfall.scale.ScaleCommand.run(Arrays.copyOfRange(args, 1, args.length)));
         }
         if (args.length > 0 && args[0].equals("soak")) {
             System.exit(deckfall.soak.Soak.run(Arrays.copyOfRange(args, 1, args.length)));
--- a/src/main/java/deckfall/scale/Scale.java
+++ b/src/main/java/deckfall/scale/ScaleCommand.java
@@ -16,13 +16,13 @@
         description = "Runs of the gateways at a fleet's size.",
         mixinStandardHelpOptions = true,
         subcommands = {HollowOptions.class, RealOptions.class})
-public final class Scale implements Runnable {
-    private static final int USAGE = 2;
+public final class ScaleCommand implements Runnable {
+    private static final int EXIT_USAGE = 2;
 
     @Spec
     private CommandLine.Model.CommandSpec spec;
 
-    private Scale() {}
+    private ScaleCommand() {}
 
     @Override
     public void run() {
@@ -35,11 +35,11 @@
     }
 
     static int run(PrintWriter errors, String... arguments) {
-        return new CommandLine(new Scale())
+        return new CommandLine(new ScaleCommand())
                 .setErr(errors)
                 .setParameterExceptionHandler((e, all) -> {
                     errors.println("scale: " + e.getMessage().replaceAll("\\s*\\R\\s*", " "));
-                    return USAGE;
+                    return EXIT_USAGE;
                 })
                 .execute(arguments);
     }
--- a/src/test/java/deckfall/scale/ScaleTest.java
+++ b/src/test/java/deckfall/scale/ScaleCommandTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The command line of the scale runs. */
-class ScaleTest {
+class ScaleCommandTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -38,9 +38,9 @@
                 "hollow --json /no/such/folder/file",
                 "hollow --seed 1.5"
             })
-    void aBadArgumentGetsOnePlainLineAndExitCodeTwo(String line) {
+    void invalidArgumentsGiveOneErrorLineAndExitCodeTwo(String line) {
         StringWriter errors = new StringWriter();
-        int code = Scale.run(new PrintWriter(errors, true), line.isEmpty() ? new String[0] : line.split(" "));
+        int code = ScaleCommand.run(new PrintWriter(errors, true), line.isEmpty() ? new String[0] : line.split(" "));
         assertEquals(2, code);
         assertTrue(errors.toString().matches("scale: .+\\R"), errors.toString());
     }
