--- a/src/main/java/deckfall/scale/Clients.java
+++ b/src/main/java/deckfall/scale/Clients.java
@@ -61,7 +61,7 @@
     }
 
     private double draw(int c) {
-        return Chance.uniform(Chance.mixed(options.seed, c), draws[c]++);
+        return HashRandom.uniform(HashRandom.mix(options.seed, c), draws[c]++);
     }
 
     private double draw(int c, double from, double to) {
@@ -136,18 +136,18 @@
 
     /** A try was refused, or its gateway was not there: some clients come again, some of these elsewhere. */
     void again(Try t, double retryAfterMs) {
-        long seed = Chance.mixed(options.seed, t.number);
+        long seed = HashRandom.mix(options.seed, t.number);
         boolean comes = t.earlier < Math.min(MOST_EARLIER, options.retries)
-                && Chance.uniform(seed, t.earlier) < options.retryShare;
+                && HashRandom.uniform(seed, t.earlier) < options.retryShare;
         if (!comes) {
             return;
         }
-        double backOff = BACK_OFF_MS * (1 << t.earlier) * Chance.between(0.5, 1.5, seed, 8 + t.earlier);
+        double backOff = BACK_OFF_MS * (1 << t.earlier) * HashRandom.uniformBetween(0.5, 1.5, seed, 8 + t.earlier);
         double at = queue.now() + Math.max(backOff, retryAfterMs);
         if (at >= endMs) {
             return;
         }
-        boolean elsewhere = Chance.uniform(seed, 16 + t.earlier) < ELSEWHERE;
+        boolean elsewhere = HashRandom.uniform(seed, 16 + t.earlier) < ELSEWHERE;
         int place = Math.floorMod(t.gateway - customers.first(t.customer), options.gateways);
         int moved = elsewhere ? (place + 1) % customers.spread() : place;
         int gateway = (customers.first(t.customer) + moved) % options.gateways;
--- a/src/main/java/deckfall/scale/CounterStandIn.java
+++ b/src/main/java/deckfall/scale/CounterStandIn.java
@@ -67,7 +67,7 @@
 
     private void arrive(String name, double amount, double lifeMs, double endAt, ObjDoubleConsumer<Outcome> end) {
         double now = queue.now();
-        int part = (int) Long.remainderUnsigned(Chance.mixed(name.hashCode(), 1), freeAt.length);
+        int part = (int) Long.remainderUnsigned(HashRandom.mix(name.hashCode(), 1), freeAt.length);
         if (mode != Mode.SERVING) {
             queue.at(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
         } else if (freeAt[part] - now > longestWaitMs) {
--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -75,11 +75,11 @@
         asked = new double[count];
         first = new int[count];
         for (int c = 0; c < count; c++) {
-            long seed = Chance.mixed(o.seed, c);
-            planOf[c] = (byte) drawPlan(tilt, Chance.uniform(seed, -1));
-            kindOf[c] = drawKind(Chance.uniform(seed, -2));
-            first[c] = (int) (Chance.uniform(seed, -3) * o.gateways);
-            asked[c] = plan(c).rate() * Chance.between(kindOf[c].least, kindOf[c].most, seed, -4);
+            long seed = HashRandom.mix(o.seed, c);
+            planOf[c] = (byte) drawPlan(tilt, HashRandom.uniform(seed, -1));
+            kindOf[c] = drawKind(HashRandom.uniform(seed, -2));
+            first[c] = (int) (HashRandom.uniform(seed, -3) * o.gateways);
+            asked[c] = plan(c).rate() * HashRandom.uniformBetween(kindOf[c].least, kindOf[c].most, seed, -4);
         }
     }
 
@@ -147,7 +147,7 @@
 
     /** The number that gateways know it by. */
     long idOf(int customer) {
-        return Chance.mixed(customer, 2) & 0x1FFFFFFFFL;
+        return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
 
     boolean spiky(int customer) {
--- a/src/main/java/deckfall/scale/DiscoveryStandIn.java
+++ b/src/main/java/deckfall/scale/DiscoveryStandIn.java
@@ -72,7 +72,7 @@
         if (agent == null || silent[gateway]) {
             return;
         }
-        double late = Chance.uniform(Chance.mixed(options.seed, changes.size()), gateway) * options.discoveryMs;
+        double late = HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.discoveryMs;
         agent.toldAt = Math.max(agent.toldAt, queue.now() + late);
         queue.at(agent.toldAt, () -> tell(gateway, agent));
     }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -81,7 +81,7 @@
         }
         for (int g = real; g < real + hollow; g++) {
             int number = g; // none in step with another: their beats would meet at the counter
-            double at = Chance.between(0, HollowOptions.START_MS, Chance.mixed(options.seed, number), -1);
+            double at = HashRandom.uniformBetween(0, HollowOptions.START_MS, HashRandom.mix(options.seed, number), -1);
             queue.at(at, () -> startGateway(number));
         }
     }
@@ -112,7 +112,7 @@
         List<Plan> plans = admission.replacesModule() ? customers.plansWithoutQuotas() : customers.plans();
         boolean metered = options.meterLateMs > 0;
         return new Settings(
-                Chance.mixed(options.seed, number),
+                HashRandom.mix(options.seed, number),
                 number,
                 options.gateways,
                 zone,
--- /dev/null
+++ b/src/main/java/deckfall/scale/HashRandom.java
@@ -0,0 +1,33 @@
+package deckfall.scale;
+
+/**
+ * Chance by number, not by turn: what is drawn for a customer or a try depends on the seed and on its number alone,
+ * so that two versions of the module meet the same clients and the same service times.
+ */
+final class HashRandom {
+    private static final double DOUBLE_UNIT = 0x1.0p-53;
+    private static final int MANTISSA_SHIFT = 11;
+
+    private HashRandom() {}
+
+    static long mix(long seed, long index) {
+        long hash = seed * 0x9E3779B97F4A7C15L + index;
+        hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
+        hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
+        return hash ^ hash >>> 31;
+    }
+
+    /** From 0, below 1. */
+    static double uniform(long seed, long index) {
+        return (mix(seed, index) >>> MANTISSA_SHIFT) * DOUBLE_UNIT;
+    }
+
+    static double uniformBetween(double from, double to, long seed, long index) {
+        return from + (to - from) * uniform(seed, index);
+    }
+
+    /** With a mean of 1. */
+    static double exponential(long seed, long index) {
+        return -Math.log(1 - uniform(seed, index));
+    }
+}
--- a/src/main/java/deckfall/scale/SeatServer.java
+++ b/src/main/java/deckfall/scale/SeatServer.java
@@ -43,7 +43,7 @@
         this.zone = zone;
         this.cell = cell;
         this.startedMs = startedMs;
-        id = "s-" + Long.toHexString(Chance.mixed(options.seed, ~index) >>> 16);
+        id = "s-" + Long.toHexString(HashRandom.mix(options.seed, ~index) >>> 16);
     }
 
     State state() {
@@ -119,7 +119,7 @@
         inWork.add(work);
         int sameLife = life;
         Try t = work.attempt.of;
-        double drawn = Chance.exponential(Chance.mixed(options.seed, t.number), 64 + work.attempt.number);
+        double drawn = HashRandom.exponential(HashRandom.mix(options.seed, t.number), 64 + work.attempt.number);
         queue.after(options.serviceMs * drawn / capacity(), () -> {
             if (sameLife == life) {
                 finish(work);
