--- a/src/main/java/deckfall/scale/Clients.java
+++ b/src/main/java/deckfall/scale/Clients.java
@@ -79,7 +79,7 @@
         }
         at += due / rate[c];
         if (at < endMs) {
-            queue.at(at, () -> arrive(c));
+            queue.scheduleAt(at, () -> arrive(c));
         }
     }
 
@@ -151,6 +151,6 @@
         int place = Math.floorMod(t.gateway - customers.first(t.customer), options.gateways);
         int moved = elsewhere ? (place + 1) % customers.spread() : place;
         int gateway = (customers.first(t.customer) + moved) % options.gateways;
-        queue.at(at, () -> send(t.number + 1, t.customer, t.units, t.requestClass, t.earlier + 1, gateway));
+        queue.scheduleAt(at, () -> send(t.number + 1, t.customer, t.units, t.requestClass, t.earlier + 1, gateway));
     }
 }
--- a/src/main/java/deckfall/scale/CounterStandIn.java
+++ b/src/main/java/deckfall/scale/CounterStandIn.java
@@ -44,7 +44,7 @@
         this.wayMs = roundTripMs / 2;
         this.longestWaitMs = longestWaitMs;
         this.freeAt = new double[parts];
-        queue.after(SWEEP_MS, this::sweep);
+        queue.scheduleAfter(SWEEP_MS, this::sweep);
     }
 
     /** Tells the end once: the answer, or {@code TIMEOUT} when its time is up; the amount may be added later still. */
@@ -57,11 +57,11 @@
             ObjDoubleConsumer<Outcome> end) {
         double sentAt = queue.now();
         if (mode == Mode.REFUSING && reachable) {
-            queue.after(2 * wayMs, () -> end.accept(Outcome.CONNECT_FAILED, 0));
+            queue.scheduleAfter(2 * wayMs, () -> end.accept(Outcome.CONNECT_FAILED, 0));
         } else if (mode == Mode.SILENT || !reachable) {
-            queue.after(timeoutMs, () -> end.accept(Outcome.TIMEOUT, 0));
+            queue.scheduleAfter(timeoutMs, () -> end.accept(Outcome.TIMEOUT, 0));
         } else {
-            queue.after(wayMs, () -> arrive(name, amount, lifeMs, sentAt + timeoutMs, end));
+            queue.scheduleAfter(wayMs, () -> arrive(name, amount, lifeMs, sentAt + timeoutMs, end));
         }
     }
 
@@ -69,24 +69,24 @@
         double now = queue.now();
         int part = (int) Long.remainderUnsigned(HashRandom.mix(name.hashCode(), 1), freeAt.length);
         if (mode != Mode.SERVING) {
-            queue.at(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
+            queue.scheduleAt(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
         } else if (freeAt[part] - now > longestWaitMs) {
-            queue.after(wayMs, () -> end.accept(Outcome.FULL, 0));
+            queue.scheduleAfter(wayMs, () -> end.accept(Outcome.FULL, 0));
         } else {
             freeAt[part] = Math.max(now, freeAt[part]) + serviceMs * slowness;
             int sameLife = life;
             boolean inTime = freeAt[part] + wayMs <= endAt;
             if (!inTime) {
-                queue.at(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
+                queue.scheduleAt(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
             }
-            queue.at(freeAt[part], () -> {
+            queue.scheduleAt(freeAt[part], () -> {
                 if (sameLife == life) {
                     double total = add(name, amount, lifeMs);
                     if (inTime) {
-                        queue.after(wayMs, () -> end.accept(Outcome.OK, total));
+                        queue.scheduleAfter(wayMs, () -> end.accept(Outcome.OK, total));
                     }
                 } else if (inTime) {
-                    queue.at(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
+                    queue.scheduleAt(endAt, () -> end.accept(Outcome.TIMEOUT, 0));
                 }
             });
         }
@@ -115,7 +115,7 @@
 
     private void sweep() {
         totals.values().removeIf(t -> queue.now() >= t.endsAt);
-        queue.after(SWEEP_MS, this::sweep);
+        queue.scheduleAfter(SWEEP_MS, this::sweep);
     }
 
     /** Calls in its line are lost with a change of how it serves. */
--- a/src/main/java/deckfall/scale/DiscoveryStandIn.java
+++ b/src/main/java/deckfall/scale/DiscoveryStandIn.java
@@ -51,7 +51,7 @@
         agents[gateway] = agent;
         HostListKind kind = silent[gateway] ? HostListKind.CACHED : HostListKind.FULL;
         List<Host> all = List.copyOf(hosts.values());
-        queue.after(0, () -> listener.hosts(kind, all));
+        queue.scheduleAfter(0, () -> listener.hosts(kind, all));
     }
 
     void change(List<Host> changed) {
@@ -74,7 +74,7 @@
         }
         double late = HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.discoveryMs;
         agent.toldAt = Math.max(agent.toldAt, queue.now() + late);
-        queue.at(agent.toldAt, () -> tell(gateway, agent));
+        queue.scheduleAt(agent.toldAt, () -> tell(gateway, agent));
     }
 
     private void tell(int gateway, Agent agent) {
--- a/src/main/java/deckfall/scale/EventQueue.java
+++ b/src/main/java/deckfall/scale/EventQueue.java
@@ -7,13 +7,13 @@
  * arguments give the same run. A heap over plain arrays, since a run holds millions of events.
  */
 final class EventQueue {
-    private static final int FIRST_SIZE = 1 << 12;
+    private static final int INITIAL_CAPACITY = 1 << 12;
 
-    private double[] times = new double[FIRST_SIZE];
-    private long[] orders = new long[FIRST_SIZE];
-    private Runnable[] events = new Runnable[FIRST_SIZE];
+    private double[] timesMs = new double[INITIAL_CAPACITY];
+    private long[] sequenceNumbers = new long[INITIAL_CAPACITY];
+    private Runnable[] events = new Runnable[INITIAL_CAPACITY];
     private int size;
-    private long order;
+    private long nextSequenceNumber;
     private double nowMs;
 
     double now() {
@@ -21,71 +21,71 @@
     }
 
     /** Runs an event at a time; one in the past runs next. */
-    void at(double timeMs, Runnable event) {
-        if (size == times.length) {
-            times = Arrays.copyOf(times, 2 * size);
-            orders = Arrays.copyOf(orders, 2 * size);
+    void scheduleAt(double timeMs, Runnable event) {
+        if (size == timesMs.length) {
+            timesMs = Arrays.copyOf(timesMs, 2 * size);
+            sequenceNumbers = Arrays.copyOf(sequenceNumbers, 2 * size);
             events = Arrays.copyOf(events, 2 * size);
         }
-        rise(size++, Math.max(nowMs, timeMs), order++, event);
+        siftUp(size++, Math.max(nowMs, timeMs), nextSequenceNumber++, event);
     }
 
-    void after(double delayMs, Runnable event) {
-        at(nowMs + delayMs, event);
+    void scheduleAfter(double delayMs, Runnable event) {
+        scheduleAt(nowMs + delayMs, event);
     }
 
     /** Runs all that is due up to a time, which is the time of now then. */
-    void runTo(double endMs) {
-        while (size > 0 && times[0] <= endMs) {
-            nowMs = times[0];
+    void runUntil(double endMs) {
+        while (size > 0 && timesMs[0] <= endMs) {
+            nowMs = timesMs[0];
             Runnable next = events[0];
             size--;
-            double time = times[size];
-            long last = orders[size];
-            Runnable moved = events[size];
+            double lastTimeMs = timesMs[size];
+            long lastSequenceNumber = sequenceNumbers[size];
+            Runnable lastEvent = events[size];
             events[size] = null;
             if (size > 0) {
-                sink(time, last, moved);
+                siftDown(lastTimeMs, lastSequenceNumber, lastEvent);
             }
             next.run();
         }
         nowMs = endMs;
     }
 
-    private boolean before(double time, long placed, int other) {
-        return time < times[other] || time == times[other] && placed < orders[other];
+    private boolean isBefore(double timeMs, long sequenceNumber, int other) {
+        return timeMs < timesMs[other] || timeMs == timesMs[other] && sequenceNumber < sequenceNumbers[other];
     }
 
-    private void put(int place, double time, long placed, Runnable event) {
-        times[place] = time;
-        orders[place] = placed;
-        events[place] = event;
+    private void put(int index, double timeMs, long sequenceNumber, Runnable event) {
+        timesMs[index] = timeMs;
+        sequenceNumbers[index] = sequenceNumber;
+        events[index] = event;
     }
 
     private void move(int from, int to) {
-        put(to, times[from], orders[from], events[from]);
+        put(to, timesMs[from], sequenceNumbers[from], events[from]);
     }
 
-    private void rise(int from, double time, long placed, Runnable event) {
-        int place = from;
-        while (place > 0 && before(time, placed, (place - 1) / 2)) {
-            move((place - 1) / 2, place);
-            place = (place - 1) / 2;
+    private void siftUp(int start, double timeMs, long sequenceNumber, Runnable event) {
+        int index = start;
+        while (index > 0 && isBefore(timeMs, sequenceNumber, (index - 1) / 2)) {
+            move((index - 1) / 2, index);
+            index = (index - 1) / 2;
         }
-        put(place, time, placed, event);
+        put(index, timeMs, sequenceNumber, event);
     }
 
-    private void sink(double time, long placed, Runnable event) {
-        int place = 0;
-        for (int child = 1; child < size; child = 2 * place + 1) {
+    private void siftDown(double timeMs, long sequenceNumber, Runnable event) {
+        int index = 0;
+        for (int child = 1; child < size; child = 2 * index + 1) {
             int right = child + 1;
-            int least = right < size && before(times[right], orders[right], child) ? right : child;
-            if (before(time, placed, least)) {
+            int earliest = right < size && isBefore(timesMs[right], sequenceNumbers[right], child) ? right : child;
+            if (isBefore(timeMs, sequenceNumber, earliest)) {
                 break;
             }
-            move(least, place);
-            place = least;
+            move(earliest, index);
+            index = earliest;
         }
-        put(place, time, placed, event);
+        put(index, timeMs, sequenceNumber, event);
     }
 }
--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -21,7 +21,7 @@
 
     void place(List<Fault> faults, double fromMs) {
         for (Fault f : faults) {
-            queue.at(fromMs + f.atMs(), () -> begin(f));
+            queue.scheduleAt(fromMs + f.atMs(), () -> begin(f));
         }
     }
 
@@ -54,7 +54,7 @@
         int count = Math.min(f.count(), fleet.options.servers);
         for (int i = 0; i < count; i++) {
             SeatServer old = fleet.servers.get(chosen(i, count, fleet.options.servers));
-            queue.after(f.lengthMs() * i / count, () -> replace(old));
+            queue.scheduleAfter(f.lengthMs() * i / count, () -> replace(old));
         }
     }
 
@@ -64,7 +64,7 @@
         }
         old.drain();
         fleet.changed(List.of(old, fleet.addServer(old.zone, old.cell, queue.now())));
-        queue.after(DRAIN_MS, () -> {
+        queue.scheduleAfter(DRAIN_MS, () -> {
             old.die();
             fleet.changed(List.of(old));
         });
@@ -75,7 +75,7 @@
         for (int i = 0; i < count; i++) {
             SeatServer s = fleet.servers.get(chosen(i, count, fleet.options.servers));
             s.hang(true);
-            queue.after(f.lengthMs(), () -> s.hang(false));
+            queue.scheduleAfter(f.lengthMs(), () -> s.hang(false));
         }
     }
 
@@ -85,8 +85,8 @@
         List<SeatServer> lost = new ArrayList<>(fleet.servers);
         lost.removeIf(s -> !which.test(s) || s.state() != SeatServer.State.SERVING);
         lost.forEach(SeatServer::vanish);
-        queue.after(NOTICED_MS, () -> fleet.changed(lost));
-        queue.after(Math.max(NOTICED_MS, f.lengthMs()), () -> {
+        queue.scheduleAfter(NOTICED_MS, () -> fleet.changed(lost));
+        queue.scheduleAfter(Math.max(NOTICED_MS, f.lengthMs()), () -> {
             lost.forEach(SeatServer::restart);
             fleet.changed(lost);
         });
@@ -103,8 +103,8 @@
 
     private void lose(int gateway, double lengthMs) {
         fleet.gateways[gateway].die();
-        queue.after(Front.NOTICES_MS, () -> fleet.front.sees(gateway));
-        queue.after(lengthMs, () -> {
+        queue.scheduleAfter(Front.NOTICES_MS, () -> fleet.front.sees(gateway));
+        queue.scheduleAfter(lengthMs, () -> {
             fleet.startGateway(gateway);
             fleet.front.sees(gateway);
         });
@@ -119,7 +119,7 @@
         for (int i = 0; i < count; i++) {
             int gateway = chosen(i, count, all);
             double at = f.lengthMs() * (int) ((long) i * steps / count) / steps;
-            queue.after(at, () -> replaceGateway(gateway, release));
+            queue.scheduleAfter(at, () -> replaceGateway(gateway, release));
         }
     }
 
@@ -132,7 +132,7 @@
         if (release && old instanceof HollowGateway former) {
             next.follow(former);
         }
-        queue.after(fleet.options.deadlineMs + OVERLAP_MS, () -> {
+        queue.scheduleAfter(fleet.options.deadlineMs + OVERLAP_MS, () -> {
             old.die();
             if (release && next.alive()) {
                 next.besides(1);
@@ -152,7 +152,7 @@
         }
         if (zone == Fleet.SERVICES_ZONE) {
             setCounter(CounterStandIn.Mode.SILENT);
-            queue.after(MOVED_MS, () -> {
+            queue.scheduleAfter(MOVED_MS, () -> {
                 empty();
                 setCounter(CounterStandIn.Mode.SERVING);
             });
@@ -164,14 +164,14 @@
         int side = fleet.zones.region(Fleet.SERVICES_ZONE);
         fleet.zones.cut(true);
         silence(f, g -> fleet.zones.region(g.zone) != side);
-        queue.after(f.lengthMs(), () -> fleet.zones.cut(false));
+        queue.scheduleAfter(f.lengthMs(), () -> fleet.zones.cut(false));
     }
 
     private void silence(Fault f, Predicate<FleetGateway> which) {
         for (FleetGateway g : fleet.gateways) {
             if (which.test(g)) {
                 fleet.discovery.silence(g.number, true);
-                queue.after(f.lengthMs(), () -> fleet.discovery.silence(g.number, false));
+                queue.scheduleAfter(f.lengthMs(), () -> fleet.discovery.silence(g.number, false));
             }
         }
     }
@@ -192,7 +192,7 @@
 
     private void counter(Fault f, CounterStandIn.Mode mode, boolean empties) {
         setCounter(mode);
-        queue.after(f.lengthMs(), () -> {
+        queue.scheduleAfter(f.lengthMs(), () -> {
             if (empties) {
                 empty();
             }
@@ -203,7 +203,7 @@
     private void slowCounter(Fault f) {
         if (fleet.counter != null) {
             fleet.counter.slow(Math.max(1, f.size()));
-            queue.after(f.lengthMs(), () -> fleet.counter.slow(1));
+            queue.scheduleAfter(f.lengthMs(), () -> fleet.counter.slow(1));
         }
     }
 }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -82,7 +82,7 @@
         for (int g = real; g < real + hollow; g++) {
             int number = g; // none in step with another: their beats would meet at the counter
             double at = HashRandom.uniformBetween(0, HollowOptions.START_MS, HashRandom.mix(options.seed, number), -1);
-            queue.at(at, () -> startGateway(number));
+            queue.scheduleAt(at, () -> startGateway(number));
         }
     }
 
@@ -189,9 +189,9 @@
         figures.sent(from.number, to, to.zone != from.zone, now);
         double way = zones.wayMs(from.zone, to.zone);
         if (!zones.reach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
-            queue.after(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
+            queue.scheduleAfter(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
         } else {
-            queue.after(way, () -> reach(a, to, way));
+            queue.scheduleAfter(way, () -> reach(a, to, way));
         }
     }
 
@@ -201,7 +201,7 @@
             return; // nothing comes back
         }
         if (to.state() == SeatServer.State.DEAD) {
-            queue.after(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
+            queue.scheduleAfter(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
             return;
         }
         if (!a.of.counted) {
@@ -213,7 +213,7 @@
             if (zones.reach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
                 int used = tells ? meter.told(a.of.customer, queue.now()) : 0;
-                queue.after(way, () -> a.gateway.ended(a, outcome, used));
+                queue.scheduleAfter(way, () -> a.gateway.ended(a, outcome, used));
             }
         });
     }
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -119,7 +119,7 @@
                 t.units,
                 customers.first(t.customer),
                 customers.spread());
-        fleet.queue.at(t.deadlineMs, () -> deadline(t));
+        fleet.queue.scheduleAt(t.deadlineMs, () -> deadline(t));
         tell(Event.REQUEST, t, () -> module.requestReceived(now(), r));
     }
 
@@ -198,7 +198,7 @@
         Try.Attempt a = new Try.Attempt(this, t, host, now());
         t.attempts.add(a);
         if (t.closed || t.attempts.size() > settings.limits().maxAttempts()) {
-            fleet.queue.after(0, () -> ended(a, Outcome.MOOT, 0));
+            fleet.queue.scheduleAfter(0, () -> ended(a, Outcome.MOOT, 0));
             return;
         }
         if (!t.left) {
@@ -207,7 +207,7 @@
             fleet.figures.left(t, now());
         }
         if (timeoutMs > 0) {
-            fleet.queue.after(timeoutMs, () -> ended(a, Outcome.TIMEOUT, 0));
+            fleet.queue.scheduleAfter(timeoutMs, () -> ended(a, Outcome.TIMEOUT, 0));
         }
         fleet.attempt(a);
     }
@@ -217,7 +217,7 @@
         actions.add(() -> {
             Try t = open.get(id);
             if (t != null && attempt >= 0 && attempt < t.attempts.size()) {
-                fleet.queue.after(0, () -> ended(t.attempts.get(attempt), Outcome.CANCELLED, 0));
+                fleet.queue.scheduleAfter(0, () -> ended(t.attempts.get(attempt), Outcome.CANCELLED, 0));
             }
         });
     }
@@ -241,7 +241,7 @@
 
     @Override
     public void startTimer(double delayMs, String token) {
-        fleet.queue.after(delayMs, () -> tell(Event.OTHER, null, () -> module.timerFired(now(), token)));
+        fleet.queue.scheduleAfter(delayMs, () -> tell(Event.OTHER, null, () -> module.timerFired(now(), token)));
     }
 
     @Override
@@ -263,12 +263,12 @@
         Figures.Call kind = waits ? Figures.Call.REQUESTS_WAIT : Figures.Call.BACKGROUND;
         fleet.figures.called(number, c.amount == 0 ? Figures.Call.READ : kind, now());
         if (fleet.counter == null || callsOut >= MOST_CALLS_OUT) {
-            fleet.queue.after(0, () -> counted(c.name, Outcome.CONNECT_FAILED, 0));
+            fleet.queue.scheduleAfter(0, () -> counted(c.name, Outcome.CONNECT_FAILED, 0));
             return;
         }
         callsOut++;
         fleet.call(this, c.name, c.amount, c.lifeMs, fleet.options.counterTimeoutMs, (outcome, total) -> {
-            fleet.queue.after(outcome == Outcome.TIMEOUT ? STUCK_MS : 0, () -> callsOut--);
+            fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? STUCK_MS : 0, () -> callsOut--);
             counted(c.name, outcome, total);
         });
     }
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/HollowRun.java
@@ -79,7 +79,7 @@
 
     private void runTo(double endMs) {
         while (fleet.queue.now() < endMs) {
-            fleet.queue.runTo(Math.min(endMs, fleet.queue.now() + STEP_MS));
+            fleet.queue.runUntil(Math.min(endMs, fleet.queue.now() + STEP_MS));
             long now = System.nanoTime();
             if (now - toldNanos > PROGRESS_NANOS) {
                 toldNanos = now;
--- a/src/main/java/deckfall/scale/Pace.java
+++ b/src/main/java/deckfall/scale/Pace.java
@@ -35,7 +35,7 @@
         }
         double due = fromMs + (System.nanoTime() - fromNanos) / 1e6;
         worstLateMs = Math.max(worstLateMs, due - queue.now());
-        queue.runTo(due);
+        queue.runUntil(due);
         nowMs = due;
     }
 
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -88,7 +88,7 @@
             directs.remove(DIRECT + t.id);
             note(t, pair);
         });
-        fleet.queue.at(t.deadlineMs + GRACE_MS, () -> close(t, Figures.End.UNANSWERED, 0));
+        fleet.queue.scheduleAt(t.deadlineMs + GRACE_MS, () -> close(t, Figures.End.UNANSWERED, 0));
     }
 
     private void note(Try t, Pair pair) {
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -152,7 +152,8 @@
             fleet.gateways[number] = gateway;
             gateways.add(gateway);
             fleet.discovery.watch(number, agent);
-            fleet.queue.runTo(HollowOptions.START_MS); // the hollow ones start; the clock then waits for the real ones
+            fleet.queue.runUntil(
+                    HollowOptions.START_MS); // the hollow ones start; the clock then waits for the real ones
             return agent.known();
         });
         InetSocketAddress discovery = Listeners.open(group, () -> with(traffic, http(agent)));
--- a/src/main/java/deckfall/scale/ReferenceAdmission.java
+++ b/src/main/java/deckfall/scale/ReferenceAdmission.java
@@ -32,7 +32,7 @@
         if (delayMs == 0) {
             seen.take(t.customer, t.units, seenTime());
         } else {
-            queue.after(delayMs, () -> seen.take(t.customer, t.units, seenTime()));
+            queue.scheduleAfter(delayMs, () -> seen.take(t.customer, t.units, seenTime()));
         }
         return OptionalDouble.empty();
     }
--- a/src/main/java/deckfall/scale/SeatServer.java
+++ b/src/main/java/deckfall/scale/SeatServer.java
@@ -120,7 +120,7 @@
         int sameLife = life;
         Try t = work.attempt.of;
         double drawn = HashRandom.exponential(HashRandom.mix(options.seed, t.number), 64 + work.attempt.number);
-        queue.after(options.serviceMs * drawn / capacity(), () -> {
+        queue.scheduleAfter(options.serviceMs * drawn / capacity(), () -> {
             if (sameLife == life) {
                 finish(work);
             }
--- a/src/test/java/deckfall/scale/EventQueueTest.java
+++ b/src/test/java/deckfall/scale/EventQueueTest.java
@@ -12,16 +12,16 @@
     private static final int EVENTS = 10_000; // more than the queue's first size
 
     @Test
-    void eventsRunByTimeAndThenAsTheyWerePlaced() {
+    void eventsRunByTimeAndThenInSchedulingOrder() {
         EventQueue queue = new EventQueue();
         Random random = new Random(1);
         List<long[]> ran = new ArrayList<>();
         for (int i = 0; i < EVENTS; i++) {
-            long placed = i;
-            long at = random.nextInt(100);
-            queue.at(at, () -> ran.add(new long[] {at, placed}));
+            long sequenceNumber = i;
+            long timeMs = random.nextInt(100);
+            queue.scheduleAt(timeMs, () -> ran.add(new long[] {timeMs, sequenceNumber}));
         }
-        queue.runTo(100);
+        queue.runUntil(100);
         assertEquals(EVENTS, ran.size());
         List<long[]> sorted = new ArrayList<>(ran);
         sorted.sort((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
@@ -29,13 +29,13 @@
     }
 
     @Test
-    void whatAnEventPlacesInThePastRunsAtItsOwnTime() {
+    void eventScheduledInThePastRunsAtTheCurrentTime() {
         EventQueue queue = new EventQueue();
-        List<Double> times = new ArrayList<>();
-        queue.at(5, () -> queue.at(1, () -> times.add(queue.now())));
-        queue.runTo(4);
-        queue.runTo(10);
-        assertEquals(List.of(5.0), times);
+        List<Double> runTimesMs = new ArrayList<>();
+        queue.scheduleAt(5, () -> queue.scheduleAt(1, () -> runTimesMs.add(queue.now())));
+        queue.runUntil(4);
+        queue.runUntil(10);
+        assertEquals(List.of(5.0), runTimesMs);
         assertEquals(10, queue.now());
     }
 }
