--- a/src/main/java/deckfall/scale/Admission.java
+++ b/src/main/java/deckfall/scale/Admission.java
@@ -8,7 +8,7 @@
     Admission BY_MODULE = t -> OptionalDouble.empty();
 
     /** The time to come back of a try that is refused here, in milliseconds; empty where it goes on to its gateway. */
-    OptionalDouble refusal(Try t);
+    OptionalDouble refusal(ClientRequest t);
 
     /** Whether gateways are told of no quotas, since these are decided here. */
     default boolean replacesModule() {
--- a/src/main/java/deckfall/scale/Try.java
+++ b/src/main/java/deckfall/scale/ClientRequest.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /** One request of a client at one gateway, and the attempts that the gateway makes of it. */
-final class Try {
+final class ClientRequest {
     final long number;
     final String id;
     final int customer;
     final int units;
     final int requestClass;
-    final int earlier; // tries of the same client before
+    final int retryNumber; // tries of the same client before
     final double arrivedMs;
     final double deadlineMs;
     final boolean measured; // came after the warm-up
     final List<Attempt> attempts = new ArrayList<>(1);
     int gateway;
-    boolean left; // its first attempt was sent
-    boolean counted; // its first attempt came to a seat server: it has taken its units
+    boolean dispatched; // its first attempt was sent
+    boolean quotaCharged; // its first attempt came to a seat server: it has taken its units
     boolean closed;
 
-    Try(
+    ClientRequest(
             long number,
             int customer,
             int units,
             int requestClass,
-            int earlier,
+            int retryNumber,
             double arrivedMs,
             double deadlineMs,
             boolean measured) {
@@ -34,19 +34,19 @@
         this.customer = customer;
         this.units = units;
         this.requestClass = requestClass;
-        this.earlier = earlier;
+        this.retryNumber = retryNumber;
         this.arrivedMs = arrivedMs;
         this.deadlineMs = deadlineMs;
         this.measured = measured;
     }
 
-    boolean undecided() {
-        return !closed && !left;
+    boolean isUndecided() {
+        return !closed && !dispatched;
     }
 
-    boolean anyOut() {
-        for (Attempt a : attempts) {
-            if (!a.ended) {
+    boolean hasOpenAttempts() {
+        for (Attempt attempt : attempts) {
+            if (!attempt.ended) {
                 return true;
             }
         }
@@ -56,18 +56,18 @@
     /** A copy of it at one seat server. */
     static final class Attempt {
         final FleetGateway gateway;
-        final Try of;
+        final ClientRequest request;
         final int number;
         final String host;
-        final double sentAt;
+        final double sentAtMs;
         boolean ended;
 
-        Attempt(FleetGateway gateway, Try of, String host, double sentAt) {
+        Attempt(FleetGateway gateway, ClientRequest request, String host, double sentAtMs) {
             this.gateway = gateway;
-            this.of = of;
-            this.number = of.attempts.size();
+            this.request = request;
+            this.number = request.attempts.size();
             this.host = host;
-            this.sentAt = sentAt;
+            this.sentAtMs = sentAtMs;
         }
     }
 }
--- a/src/main/java/deckfall/scale/Clients.java
+++ b/src/main/java/deckfall/scale/Clients.java
@@ -23,7 +23,7 @@
     private final EventQueue queue;
     private final HollowOptions options;
     private final Customers customers;
-    private final Consumer<Try> front;
+    private final Consumer<ClientRequest> front;
     private final double meanUnits;
     private final long[] draws;
     private final int[] tries;
@@ -34,7 +34,7 @@
     private final float[] weights; // of each customer's set, summed up
     private double endMs = Double.POSITIVE_INFINITY;
 
-    Clients(EventQueue queue, HollowOptions options, Customers customers, Consumer<Try> front) {
+    Clients(EventQueue queue, HollowOptions options, Customers customers, Consumer<ClientRequest> front) {
         this.queue = queue;
         this.options = options;
         this.customers = customers;
@@ -102,7 +102,7 @@
 
     private void send(long number, int customer, int units, int requestClass, int earlier, int gateway) {
         double now = queue.now();
-        Try t = new Try(
+        ClientRequest t = new ClientRequest(
                 number,
                 customer,
                 units,
@@ -135,22 +135,23 @@
     }
 
     /** A try was refused, or its gateway was not there: some clients come again, some of these elsewhere. */
-    void again(Try t, double retryAfterMs) {
+    void again(ClientRequest t, double retryAfterMs) {
         long seed = HashRandom.mix(options.seed, t.number);
-        boolean comes = t.earlier < Math.min(MOST_EARLIER, options.retries)
-                && HashRandom.uniform(seed, t.earlier) < options.retryShare;
+        boolean comes = t.retryNumber < Math.min(MOST_EARLIER, options.retries)
+                && HashRandom.uniform(seed, t.retryNumber) < options.retryShare;
         if (!comes) {
             return;
         }
-        double backOff = BACK_OFF_MS * (1 << t.earlier) * HashRandom.uniformBetween(0.5, 1.5, seed, 8 + t.earlier);
+        double backOff =
+                BACK_OFF_MS * (1 << t.retryNumber) * HashRandom.uniformBetween(0.5, 1.5, seed, 8 + t.retryNumber);
         double at = queue.now() + Math.max(backOff, retryAfterMs);
         if (at >= endMs) {
             return;
         }
-        boolean elsewhere = HashRandom.uniform(seed, 16 + t.earlier) < ELSEWHERE;
+        boolean elsewhere = HashRandom.uniform(seed, 16 + t.retryNumber) < ELSEWHERE;
         int place = Math.floorMod(t.gateway - customers.first(t.customer), options.gateways);
         int moved = elsewhere ? (place + 1) % customers.spread() : place;
         int gateway = (customers.first(t.customer) + moved) % options.gateways;
-        queue.scheduleAt(at, () -> send(t.number + 1, t.customer, t.units, t.requestClass, t.earlier + 1, gateway));
+        queue.scheduleAt(at, () -> send(t.number + 1, t.customer, t.units, t.requestClass, t.retryNumber + 1, gateway));
     }
 }
--- a/src/main/java/deckfall/scale/Figures.java
+++ b/src/main/java/deckfall/scale/Figures.java
@@ -67,14 +67,14 @@
         counts.merge(key, 1L, Long::sum);
     }
 
-    void came(Try t) {
+    void came(ClientRequest t) {
         allTries++;
         seconds.add(Seconds.Sum.TRIES, t.arrivedMs, 1);
         tries += t.measured ? 1 : 0;
-        firstTries += t.measured && t.earlier == 0 ? 1 : 0;
+        firstTries += t.measured && t.retryNumber == 0 ? 1 : 0;
     }
 
-    void ended(Try t, End end, double nowMs) {
+    void ended(ClientRequest t, End end, double nowMs) {
         allEnds++;
         if (end == End.SERVED || end == End.REFUSED) {
             seconds.add(end == End.SERVED ? Seconds.Sum.SERVED : Seconds.Sum.REFUSED, nowMs, 1);
@@ -84,7 +84,7 @@
         }
     }
 
-    void left(Try t, double nowMs) {
+    void left(ClientRequest t, double nowMs) {
         if (t.measured) {
             holdMicros.recordValue(Math.round(1000 * (nowMs - t.arrivedMs)));
         }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -141,12 +141,12 @@
 
     // ---- clients and gateways
 
-    private void arrive(Try t) {
+    private void arrive(ClientRequest t) {
         if (gateways[t.gateway] == null) {
             return; // no part of this run, nor are its clients
         }
         figures.came(t);
-        if (t.earlier == 0) {
+        if (t.retryNumber == 0) {
             quotas.offer(t);
         }
         t.gateway = front.gatewayFor(t);
@@ -167,11 +167,11 @@
     }
 
     /** A try has its final answer. */
-    void ended(Try t, Figures.End end, double retryAfterMs) {
+    void ended(ClientRequest t, Figures.End end, double retryAfterMs) {
         figures.ended(t, end, queue.now());
         if (end == Figures.End.REFUSED) {
             figures.refusedAdvised += t.measured && retryAfterMs > 0 ? 1 : 0;
-            if (!t.left) {
+            if (!t.dispatched) {
                 quotas.refused(t, queue.now());
             }
         }
@@ -182,7 +182,7 @@
 
     // ---- gateways and servers
 
-    void attempt(Try.Attempt a) {
+    void attempt(ClientRequest.Attempt a) {
         FleetGateway from = a.gateway;
         SeatServer to = serversById.get(a.host);
         double now = queue.now();
@@ -196,7 +196,7 @@
     }
 
     /** An attempt comes whole to a server. */
-    void reach(Try.Attempt a, SeatServer to, double way) {
+    void reach(ClientRequest.Attempt a, SeatServer to, double way) {
         if (to.state() == SeatServer.State.VANISHED) {
             return; // nothing comes back
         }
@@ -204,15 +204,15 @@
             queue.scheduleAfter(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
             return;
         }
-        if (!a.of.counted) {
-            a.of.counted = true;
-            quotas.take(a.of, queue.now());
-            meter.use(a.of.customer, a.of.units, queue.now());
+        if (!a.request.quotaCharged) {
+            a.request.quotaCharged = true;
+            quotas.take(a.request, queue.now());
+            meter.use(a.request.customer, a.request.units, queue.now());
         }
         to.take(a, outcome -> {
             if (zones.reach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
-                int used = tells ? meter.told(a.of.customer, queue.now()) : 0;
+                int used = tells ? meter.told(a.request.customer, queue.now()) : 0;
                 queue.scheduleAfter(way, () -> a.gateway.ended(a, outcome, used));
             }
         });
--- a/src/main/java/deckfall/scale/FleetGateway.java
+++ b/src/main/java/deckfall/scale/FleetGateway.java
@@ -15,10 +15,10 @@
     abstract boolean alive();
 
     /** A client's request has come whole. */
-    abstract void request(Try t);
+    abstract void request(ClientRequest t);
 
     /** An attempt has ended; {@code usedPct} is what the meter told with it, 0 where it told nothing. */
-    abstract void ended(Try.Attempt a, Outcome outcome, int usedPct);
+    abstract void ended(ClientRequest.Attempt a, Outcome outcome, int usedPct);
 
     abstract void die();
 
--- a/src/main/java/deckfall/scale/Front.java
+++ b/src/main/java/deckfall/scale/Front.java
@@ -18,7 +18,7 @@
     }
 
     /** The gateway that a try for another one goes to: the next of the set that is seen up, or that one itself. */
-    int gatewayFor(Try t) {
+    int gatewayFor(ClientRequest t) {
         int spread = fleet.customers.spread();
         int gateways = down.length;
         int first = fleet.customers.first(t.customer);
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -36,7 +36,7 @@
     private final Fleet fleet;
     private final Settings settings;
     private final Events module = new DecisionModule(this);
-    private final Map<String, Try> open = new LinkedHashMap<>();
+    private final Map<String, ClientRequest> open = new LinkedHashMap<>();
     private final List<Runnable> actions = new ArrayList<>();
     private final List<Count> counts = new ArrayList<>();
     private boolean alive = true;
@@ -69,7 +69,7 @@
     }
 
     /** Tells the module of an event and then does what it wants. */
-    private void tell(Event kind, Try about, Runnable event) {
+    private void tell(Event kind, ClientRequest about, Runnable event) {
         if (!alive) {
             return;
         }
@@ -80,7 +80,7 @@
             actions.get(i).run();
         }
         actions.clear();
-        boolean waits = kind == Event.REQUEST && about.undecided() || kind == Event.COUNTED && undecided > 0;
+        boolean waits = kind == Event.REQUEST && about.isUndecided() || kind == Event.COUNTED && undecided > 0;
         for (int i = 0; i < counts.size(); i++) {
             call(counts.get(i), waits);
         }
@@ -105,7 +105,7 @@
     }
 
     @Override
-    void request(Try t) {
+    void request(ClientRequest t) {
         open.put(t.id, t);
         undecided++;
         Customers customers = fleet.customers;
@@ -123,7 +123,7 @@
         tell(Event.REQUEST, t, () -> module.requestReceived(now(), r));
     }
 
-    private void deadline(Try t) {
+    private void deadline(ClientRequest t) {
         if (!alive) {
             return;
         }
@@ -136,31 +136,31 @@
     }
 
     @Override
-    void ended(Try.Attempt a, Outcome outcome, int usedPct) {
+    void ended(ClientRequest.Attempt a, Outcome outcome, int usedPct) {
         if (a.ended || !alive) {
             return;
         }
         a.ended = true;
-        Try t = a.of;
+        ClientRequest t = a.request;
         boolean closes = outcome == Outcome.OK && !t.closed;
         if (closes) {
             close(t, Figures.End.SERVED, 0);
         }
         AttemptResult r =
-                new AttemptResult(t.id, a.number, a.host, outcome, now() - a.sentAt, closes, usedPct, 0, NO_REPORT);
+                new AttemptResult(t.id, a.number, a.host, outcome, now() - a.sentAtMs, closes, usedPct, 0, NO_REPORT);
         tell(Event.OTHER, null, () -> module.attemptEnded(now(), r));
         forgetIfOver(t);
     }
 
-    private void close(Try t, Figures.End end, double retryAfterMs) {
-        undecided -= t.undecided() ? 1 : 0;
+    private void close(ClientRequest t, Figures.End end, double retryAfterMs) {
+        undecided -= t.isUndecided() ? 1 : 0;
         t.closed = true;
         forgetIfOver(t);
         fleet.ended(t, end, retryAfterMs);
     }
 
-    private void forgetIfOver(Try t) {
-        if (t.closed && !t.anyOut()) {
+    private void forgetIfOver(ClientRequest t) {
+        if (t.closed && !t.hasOpenAttempts()) {
             open.remove(t.id);
         }
     }
@@ -173,9 +173,9 @@
         }
         alive = false;
         fleet.processEnded(this);
-        List<Try> held = new ArrayList<>(open.values());
+        List<ClientRequest> held = new ArrayList<>(open.values());
         open.clear();
-        for (Try t : held) {
+        for (ClientRequest t : held) {
             t.attempts.forEach(a -> a.ended = true);
             if (!t.closed) {
                 close(t, Figures.End.NO_GATEWAY, 0);
@@ -191,19 +191,19 @@
     }
 
     private void sendNow(String id, String host, double timeoutMs) {
-        Try t = open.get(id);
+        ClientRequest t = open.get(id);
         if (t == null) {
             return;
         }
-        Try.Attempt a = new Try.Attempt(this, t, host, now());
+        ClientRequest.Attempt a = new ClientRequest.Attempt(this, t, host, now());
         t.attempts.add(a);
         if (t.closed || t.attempts.size() > settings.limits().maxAttempts()) {
             fleet.queue.scheduleAfter(0, () -> ended(a, Outcome.MOOT, 0));
             return;
         }
-        if (!t.left) {
+        if (!t.dispatched) {
             undecided--;
-            t.left = true;
+            t.dispatched = true;
             fleet.figures.left(t, now());
         }
         if (timeoutMs > 0) {
@@ -215,7 +215,7 @@
     @Override
     public void cancel(String id, int attempt) {
         actions.add(() -> {
-            Try t = open.get(id);
+            ClientRequest t = open.get(id);
             if (t != null && attempt >= 0 && attempt < t.attempts.size()) {
                 fleet.queue.scheduleAfter(0, () -> ended(t.attempts.get(attempt), Outcome.CANCELLED, 0));
             }
@@ -233,7 +233,7 @@
     }
 
     private void answer(String id, Figures.End end, double retryAfterMs) {
-        Try t = open.get(id);
+        ClientRequest t = open.get(id);
         if (t != null && !t.closed) {
             close(t, end, retryAfterMs);
         }
--- a/src/main/java/deckfall/scale/PairedTimes.java
+++ b/src/main/java/deckfall/scale/PairedTimes.java
@@ -20,7 +20,7 @@
         addedMicros.recordValue(Math.max(0, Math.round(1000 * (viaMs - directMs))));
     }
 
-    void ended(Try t, Figures.End end) {
+    void ended(ClientRequest t, Figures.End end) {
         if (t.measured) {
             ends.merge(end, 1L, Long::sum);
         }
--- a/src/main/java/deckfall/scale/Quotas.java
+++ b/src/main/java/deckfall/scale/Quotas.java
@@ -33,13 +33,13 @@
     }
 
     /** A client's first try, whichever gateway it goes to. */
-    void offer(Try t) {
+    void offer(ClientRequest t) {
         boolean inside = offered.take(t.customer, t.units, t.arrivedMs);
         worthInside += inside && t.measured ? worth(t) : 0;
     }
 
     /** A try's first attempt has come to a seat server. */
-    void take(Try t, double nowMs) {
+    void take(ClientRequest t, double nowMs) {
         boolean inside = stores.take(t.customer, t.units, nowMs);
         seconds.add(Seconds.Sum.UNITS_SENT, nowMs, t.units);
         seconds.add(Seconds.Sum.UNITS_BEYOND, nowMs, inside ? 0 : t.units);
@@ -56,12 +56,12 @@
         beyond.add(t.customer, nowMs, t.units);
     }
 
-    private double worth(Try t) {
+    private double worth(ClientRequest t) {
         return customers.plan(t.customer).valueFactor() * t.units;
     }
 
     /** A try that was never sent on was refused: with room, where half of the store lay unused. */
-    void refused(Try t, double nowMs) {
+    void refused(ClientRequest t, double nowMs) {
         Plan plan = customers.plan(t.customer);
         boolean room = stores.at(t.customer, nowMs) >= Math.max(t.units, plan.burst() / 2);
         seconds.add(Seconds.Sum.REFUSED_WITH_ROOM, nowMs, room ? 1 : 0);
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -40,9 +40,9 @@
     private final PairedTimes times;
     private final HttpPool clients;
     private final HttpPool direct;
-    private final Map<String, Try> open = new LinkedHashMap<>();
-    private final Map<String, Try> directs = new HashMap<>();
-    private final Map<Try.Attempt, ChannelHandlerContext> exchanges = new HashMap<>();
+    private final Map<String, ClientRequest> open = new LinkedHashMap<>();
+    private final Map<String, ClientRequest> directs = new HashMap<>();
+    private final Map<ClientRequest.Attempt, ChannelHandlerContext> exchanges = new HashMap<>();
 
     RealGateway(
             Fleet fleet, Pace pace, Settings settings, int zone, PairedTimes times, HttpPool clients, HttpPool direct) {
@@ -69,7 +69,7 @@
     }
 
     @Override
-    void request(Try t) {
+    void request(ClientRequest t) {
         open.put(t.id, t);
         Pair pair = new Pair();
         long from = System.nanoTime();
@@ -91,13 +91,13 @@
         fleet.queue.scheduleAt(t.deadlineMs + GRACE_MS, () -> close(t, Figures.End.UNANSWERED, 0));
     }
 
-    private void note(Try t, Pair pair) {
+    private void note(ClientRequest t, Pair pair) {
         if (t.measured && pair.viaMs >= 0 && pair.directMs >= 0) {
             times.add(pair.viaMs, pair.directMs);
         }
     }
 
-    private FullHttpRequest request(Try t, String id) {
+    private FullHttpRequest request(ClientRequest t, String id) {
         Customers customers = fleet.customers;
         boolean safe = settings.classes().get(t.requestClass).effect() == Effect.REPEATABLE;
         byte[] body = safe ? new byte[0] : BODY;
@@ -119,7 +119,7 @@
         return r;
     }
 
-    private void answered(Try t, FullHttpResponse response) {
+    private void answered(ClientRequest t, FullHttpResponse response) {
         int status = response == null ? 0 : response.status().code();
         if (status == OK) {
             close(t, Figures.End.SERVED, 0);
@@ -131,7 +131,7 @@
         }
     }
 
-    private void close(Try t, Figures.End end, double retryAfterMs) {
+    private void close(ClientRequest t, Figures.End end, double retryAfterMs) {
         if (t.closed) {
             return;
         }
@@ -147,9 +147,9 @@
 
     @Override
     public void came(String id, SeatServer server, ChannelHandlerContext from) {
-        Try twin = directs.get(id);
+        ClientRequest twin = directs.get(id);
         if (twin != null) {
-            Try alone = new Try(
+            ClientRequest alone = new ClientRequest(
                     twin.number,
                     twin.customer,
                     twin.units,
@@ -159,21 +159,21 @@
                     twin.deadlineMs,
                     false);
             server.take(
-                    new Try.Attempt(this, alone, server.id, fleet.queue.now()),
+                    new ClientRequest.Attempt(this, alone, server.id, fleet.queue.now()),
                     outcome -> SeatListener.answer(from, outcome, 0));
             return;
         }
-        Try t = open.get(id);
-        Try.Attempt a = new Try.Attempt(this, t, server.id, fleet.queue.now());
+        ClientRequest t = open.get(id);
+        ClientRequest.Attempt a = new ClientRequest.Attempt(this, t, server.id, fleet.queue.now());
         t.attempts.add(a);
-        t.left = true;
+        t.dispatched = true;
         exchanges.put(a, from);
         fleet.figures.sent(number, server, server.zone != zone, fleet.queue.now());
         fleet.reach(a, server, 0);
     }
 
     @Override
-    void ended(Try.Attempt a, Outcome outcome, int usedPct) {
+    void ended(ClientRequest.Attempt a, Outcome outcome, int usedPct) {
         a.ended = true;
         ChannelHandlerContext to = exchanges.remove(a);
         if (to != null) {
--- a/src/main/java/deckfall/scale/ReferenceAdmission.java
+++ b/src/main/java/deckfall/scale/ReferenceAdmission.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public OptionalDouble refusal(Try t) {
+    public OptionalDouble refusal(ClientRequest t) {
         double lacking = t.units - seen.at(t.customer, seenTime());
         if (lacking > 0) {
             return OptionalDouble.of(1000 * lacking / customers.plan(t.customer).rate());
--- a/src/main/java/deckfall/scale/SeatServer.java
+++ b/src/main/java/deckfall/scale/SeatServer.java
@@ -22,7 +22,7 @@
     }
 
     /** A copy of a request that came whole, and who waits for its end. */
-    private record Work(Try.Attempt attempt, Consumer<Outcome> end) {}
+    private record Work(ClientRequest.Attempt attempt, Consumer<Outcome> end) {}
 
     final int index;
     final String id;
@@ -100,7 +100,7 @@
     }
 
     /** A copy has come whole. */
-    void take(Try.Attempt attempt, Consumer<Outcome> end) {
+    void take(ClientRequest.Attempt attempt, Consumer<Outcome> end) {
         Work work = new Work(attempt, end);
         if (state == State.HANGING) {
             inWork.add(work);
@@ -118,7 +118,7 @@
     private void begin(Work work) {
         inWork.add(work);
         int sameLife = life;
-        Try t = work.attempt.of;
+        ClientRequest t = work.attempt.request;
         double drawn = HashRandom.exponential(HashRandom.mix(options.seed, t.number), 64 + work.attempt.number);
         queue.scheduleAfter(options.serviceMs * drawn / capacity(), () -> {
             if (sameLife == life) {
