--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -161,10 +161,10 @@
 
     /** Discovery and the counter are on one side alone. */
     private void cut(Fault f) {
-        int side = fleet.zones.region(Fleet.SERVICES_ZONE);
-        fleet.zones.cut(true);
-        silence(f, g -> fleet.zones.region(g.zone) != side);
-        queue.scheduleAfter(f.lengthMs(), () -> fleet.zones.cut(false));
+        int side = fleet.zones.regionOf(Fleet.SERVICES_ZONE);
+        fleet.zones.partitioned(true);
+        silence(f, g -> fleet.zones.regionOf(g.zone) != side);
+        queue.scheduleAfter(f.lengthMs(), () -> fleet.zones.partitioned(false));
     }
 
     private void silence(Fault f, Predicate<FleetGateway> which) {
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -30,7 +30,7 @@
     final Customers customers;
     final Quotas quotas;
     final Figures figures;
-    final Zones zones;
+    final NetworkTopology zones;
     final DiscoveryStandIn discovery;
     final CounterStandIn counter; // null: none
     final List<SeatServer> servers = new ArrayList<>();
@@ -50,7 +50,7 @@
         customers = new Customers(options);
         figures = new Figures(options);
         quotas = new Quotas(customers, figures.seconds);
-        zones = new Zones(options.zones, options.regions, options.nearMs, options.regionMs);
+        zones = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
         discovery = new DiscoveryStandIn(queue, options);
         counter = options.counterRate <= 0
                 ? null
@@ -77,7 +77,7 @@
                     false));
         }
         for (int i = 0; i < options.servers; i++) {
-            discovery.list(addServer(zones.ofNumber(i), rack(i), 0).listed());
+            discovery.list(addServer(zones.zoneOf(i), rack(i), 0).listed());
         }
         for (int g = real; g < real + hollow; g++) {
             int number = g; // none in step with another: their beats would meet at the counter
@@ -87,7 +87,7 @@
     }
 
     private int rack(int server) {
-        return server / (options.zones * RACK) * options.zones + zones.ofNumber(server);
+        return server / (options.zones * RACK) * options.zones + zones.zoneOf(server);
     }
 
     SeatServer addServer(int zone, int cell, double startedMs) {
@@ -99,8 +99,8 @@
 
     /** A new process of a gateway, to which new tries go. */
     HollowGateway startGateway(int number) {
-        int zone = zones.ofNumber(number);
-        HollowGateway gateway = new HollowGateway(this, settings(number, Zones.name(zone)), number, zone);
+        int zone = zones.zoneOf(number);
+        HollowGateway gateway = new HollowGateway(this, settings(number, NetworkTopology.zoneName(zone)), number, zone);
         gateways[number] = gateway;
         gatewaysStarted++;
         gateway.start();
@@ -187,8 +187,8 @@
         SeatServer to = serversById.get(a.host);
         double now = queue.now();
         figures.sent(from.number, to, to.zone != from.zone, now);
-        double way = zones.wayMs(from.zone, to.zone);
-        if (!zones.reach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
+        double way = zones.latencyMs(from.zone, to.zone);
+        if (!zones.canReach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
             queue.scheduleAfter(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
         } else {
             queue.scheduleAfter(way, () -> reach(a, to, way));
@@ -210,7 +210,7 @@
             meter.use(a.request.customer, a.request.units, queue.now());
         }
         to.take(a, outcome -> {
-            if (zones.reach(a.gateway.zone, to.zone)) {
+            if (zones.canReach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
                 int used = tells ? meter.told(a.request.customer, queue.now()) : 0;
                 queue.scheduleAfter(way, () -> a.gateway.ended(a, outcome, used));
@@ -225,7 +225,7 @@
             double lifeMs,
             double timeoutMs,
             ObjDoubleConsumer<Outcome> end) {
-        counter.call(name, amount, lifeMs, timeoutMs, zones.reach(from.zone, SERVICES_ZONE), end);
+        counter.call(name, amount, lifeMs, timeoutMs, zones.canReach(from.zone, SERVICES_ZONE), end);
     }
 
     // ---- figures over all processes
--- /dev/null
+++ b/src/main/java/deckfall/scale/NetworkTopology.java
@@ -0,0 +1,46 @@
+package deckfall.scale;
+
+/** Which zone and region a gateway or a server stands in, and how long a message takes between two. */
+final class NetworkTopology {
+    private final int zones;
+    private final int regions;
+    private final double zoneLatencyMs;
+    private final double regionLatencyMs;
+    private boolean partitioned;
+
+    NetworkTopology(int zones, int regions, double zoneLatencyMs, double regionLatencyMs) {
+        this.zones = zones;
+        this.regions = regions;
+        this.zoneLatencyMs = zoneLatencyMs;
+        this.regionLatencyMs = regionLatencyMs;
+    }
+
+    static String zoneName(int zone) {
+        return "z" + zone;
+    }
+
+    int zoneOf(int number) {
+        return number % zones;
+    }
+
+    int regionOf(int zone) {
+        return zone * regions / zones;
+    }
+
+    /** One way. */
+    double latencyMs(int from, int to) {
+        if (regionOf(from) != regionOf(to)) {
+            return regionLatencyMs;
+        }
+        return from == to ? zoneLatencyMs : 2 * zoneLatencyMs;
+    }
+
+    /** Whether regions have lost each other. */
+    void partitioned(boolean partitionedNow) {
+        partitioned = partitionedNow;
+    }
+
+    boolean canReach(int from, int to) {
+        return !partitioned || regionOf(from) == regionOf(to);
+    }
+}
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -134,8 +134,8 @@
 
     private void start(int number) throws IOException, InterruptedException, ExecutionException {
         Traffic traffic = new Traffic();
-        int zone = fleet.zones.ofNumber(number);
-        Settings settings = fleet.settings(number, Zones.name(zone));
+        int zone = fleet.zones.zoneOf(number);
+        Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
         SeatServer aside = onLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
         SeatListener direct = new SeatListener(aside, this::came);
--- a/src/main/java/deckfall/scale/SeatServer.java
+++ b/src/main/java/deckfall/scale/SeatServer.java
@@ -56,7 +56,7 @@
             case DEAD, VANISHED -> HostState.GONE;
             default -> HostState.RUNNING;
         };
-        return new Host(id, Zones.name(zone), "std", cell, told, 1, startedMs);
+        return new Host(id, NetworkTopology.zoneName(zone), "std", cell, told, 1, startedMs);
     }
 
     void drain() {
