--- a/src/main/java/deckfall/scale/Quotas.java
+++ b/src/main/java/deckfall/scale/Quotas.java
@@ -12,8 +12,8 @@
 
     private final Customers customers;
     private final Seconds seconds;
-    private final Stores stores;
-    private final Stores offered;
+    private final TokenBuckets stores;
+    private final TokenBuckets offered;
     private final Windows beyond;
     private final Windows lacking;
     private double unitsSent;
@@ -26,21 +26,21 @@
     Quotas(Customers customers, Seconds seconds) {
         this.seconds = seconds;
         this.customers = customers;
-        stores = new Stores(customers);
-        offered = new Stores(customers);
+        stores = new TokenBuckets(customers);
+        offered = new TokenBuckets(customers);
         beyond = new Windows(customers.count());
         lacking = new Windows(customers.count());
     }
 
     /** A client's first try, whichever gateway it goes to. */
     void offer(ClientRequest t) {
-        boolean inside = offered.take(t.customer, t.units, t.arrivedMs);
+        boolean inside = offered.tryTake(t.customer, t.units, t.arrivedMs);
         worthInside += inside && t.measured ? worth(t) : 0;
     }
 
     /** A try's first attempt has come to a seat server. */
     void take(ClientRequest t, double nowMs) {
-        boolean inside = stores.take(t.customer, t.units, nowMs);
+        boolean inside = stores.tryTake(t.customer, t.units, nowMs);
         seconds.add(Seconds.Sum.UNITS_SENT, nowMs, t.units);
         seconds.add(Seconds.Sum.UNITS_BEYOND, nowMs, inside ? 0 : t.units);
         if (!t.measured) {
@@ -63,7 +63,7 @@
     /** A try that was never sent on was refused: with room, where half of the store lay unused. */
     void refused(ClientRequest t, double nowMs) {
         Plan plan = customers.plan(t.customer);
-        boolean room = stores.at(t.customer, nowMs) >= Math.max(t.units, plan.burst() / 2);
+        boolean room = stores.tokensAt(t.customer, nowMs) >= Math.max(t.units, plan.burst() / 2);
         seconds.add(Seconds.Sum.REFUSED_WITH_ROOM, nowMs, room ? 1 : 0);
         if (room && t.measured) {
             refusedWithRoom++;
--- a/src/main/java/deckfall/scale/ReferenceAdmission.java
+++ b/src/main/java/deckfall/scale/ReferenceAdmission.java
@@ -9,13 +9,13 @@
 final class ReferenceAdmission implements Admission {
     private final EventQueue queue;
     private final Customers customers;
-    private final Stores seen; // on a clock that is late by the delay
+    private final TokenBuckets seen; // on a clock that is late by the delay
     private final double delayMs;
 
     ReferenceAdmission(EventQueue queue, Customers customers, double delayMs) {
         this.queue = queue;
         this.customers = customers;
-        this.seen = new Stores(customers);
+        this.seen = new TokenBuckets(customers);
         this.delayMs = delayMs;
     }
 
@@ -25,14 +25,14 @@
 
     @Override
     public OptionalDouble refusal(ClientRequest t) {
-        double lacking = t.units - seen.at(t.customer, seenTime());
+        double lacking = t.units - seen.tokensAt(t.customer, seenTime());
         if (lacking > 0) {
             return OptionalDouble.of(1000 * lacking / customers.plan(t.customer).rate());
         }
         if (delayMs == 0) {
-            seen.take(t.customer, t.units, seenTime());
+            seen.tryTake(t.customer, t.units, seenTime());
         } else {
-            queue.scheduleAfter(delayMs, () -> seen.take(t.customer, t.units, seenTime()));
+            queue.scheduleAfter(delayMs, () -> seen.tryTake(t.customer, t.units, seenTime()));
         }
         return OptionalDouble.empty();
     }
