--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -40,7 +40,7 @@
     private final Meter meter;
     private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
-    private Admission admission = Admission.BY_MODULE;
+    private AdmissionPolicy admission = AdmissionPolicy.DECIDED_BY_GATEWAYS;
     private int gatewaysStarted;
     private long endedNanos;
 
@@ -109,7 +109,7 @@
     }
 
     Settings settings(int number, String zone) {
-        List<Plan> plans = admission.replacesModule() ? customers.plansWithoutQuotas() : customers.plans();
+        List<Plan> plans = admission.replacesGatewayQuotas() ? customers.plansWithoutQuotas() : customers.plans();
         boolean metered = options.meterLateMs > 0;
         return new Settings(
                 HashRandom.mix(options.seed, number),
@@ -155,14 +155,14 @@
             return;
         }
         admission
-                .refusal(t)
+                .refusalRetryAfterMs(t)
                 .ifPresentOrElse(
                         retryAfterMs -> ended(t, Figures.End.REFUSED, retryAfterMs),
                         () -> gateways[t.gateway].request(t));
     }
 
     /** Who decides on quotas in place of the gateways; before any of them starts. */
-    void admitBy(Admission by) {
+    void admitBy(AdmissionPolicy by) {
         admission = by;
     }
 
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/HollowRun.java
@@ -35,7 +35,7 @@
     /** The same tries, let in by stores that are known as they were so many milliseconds ago. */
     Result playReference(double delayMs) {
         Fleet reference = new Fleet(options, 0, options.gateways);
-        reference.admitBy(new ReferenceAdmission(reference.queue, reference.customers, delayMs));
+        reference.admitBy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
         return play(reference);
     }
 
