--- a/src/main/java/deckfall/scale/Figures.java
+++ b/src/main/java/deckfall/scale/Figures.java
@@ -42,13 +42,13 @@
     private final int[] gatewayCalls;
     private final long[] gatewaySecond;
     private int mostGatewayCalls;
-    final Seconds seconds;
+    final PerSecondTotals seconds;
     private final BitSet[] used;
     private final BitSet[] usedBefore;
 
     Figures(HollowOptions options) {
         this.options = options;
-        seconds = new Seconds(options.warmUpMs(), (int) Math.ceil(options.seconds));
+        seconds = new PerSecondTotals(options.warmUpMs(), (int) Math.ceil(options.seconds));
         gatewayCalls = new int[options.gateways];
         gatewaySecond = new long[options.gateways];
         used = new BitSet[options.gateways];
@@ -69,7 +69,7 @@
 
     void came(ClientRequest t) {
         allTries++;
-        seconds.add(Seconds.Sum.TRIES, t.arrivedMs, 1);
+        seconds.add(PerSecondTotals.Metric.TRIES, t.arrivedMs, 1);
         tries += t.measured ? 1 : 0;
         firstTries += t.measured && t.retryNumber == 0 ? 1 : 0;
     }
@@ -77,7 +77,7 @@
     void ended(ClientRequest t, End end, double nowMs) {
         allEnds++;
         if (end == End.SERVED || end == End.REFUSED) {
-            seconds.add(end == End.SERVED ? Seconds.Sum.SERVED : Seconds.Sum.REFUSED, nowMs, 1);
+            seconds.add(end == End.SERVED ? PerSecondTotals.Metric.SERVED : PerSecondTotals.Metric.REFUSED, nowMs, 1);
         }
         if (t.measured) {
             add(ends, end);
@@ -104,7 +104,7 @@
         }
         add(calls, call);
         long second = (long) ((nowMs - options.warmUpMs()) / 1000);
-        seconds.add(Seconds.Sum.CALLS, nowMs, 1);
+        seconds.add(PerSecondTotals.Metric.CALLS, nowMs, 1);
         gatewayCalls[gateway] = gatewaySecond[gateway] == second ? gatewayCalls[gateway] + 1 : 1;
         gatewaySecond[gateway] = second;
         mostGatewayCalls = Math.max(mostGatewayCalls, gatewayCalls[gateway]);
@@ -112,7 +112,7 @@
 
     void callEnded(Outcome outcome, double nowMs) {
         if (measured(nowMs)) {
-            seconds.add(Seconds.Sum.CALLS_OK, nowMs, outcome == Outcome.OK ? 1 : 0);
+            seconds.add(PerSecondTotals.Metric.CALLS_OK, nowMs, outcome == Outcome.OK ? 1 : 0);
             add(callEnds, outcome);
         }
     }
--- a/src/main/java/deckfall/scale/Quotas.java
+++ b/src/main/java/deckfall/scale/Quotas.java
@@ -11,7 +11,7 @@
     static final double WINDOW_MS = 5000; // in which a customer's excess and lack are added up
 
     private final Customers customers;
-    private final Seconds seconds;
+    private final PerSecondTotals seconds;
     private final TokenBuckets stores;
     private final TokenBuckets offered;
     private final Windows beyond;
@@ -23,7 +23,7 @@
     private double worthSentInside;
     private long refusedWithRoom;
 
-    Quotas(Customers customers, Seconds seconds) {
+    Quotas(Customers customers, PerSecondTotals seconds) {
         this.seconds = seconds;
         this.customers = customers;
         stores = new TokenBuckets(customers);
@@ -41,8 +41,8 @@
     /** A try's first attempt has come to a seat server. */
     void take(ClientRequest t, double nowMs) {
         boolean inside = stores.tryTake(t.customer, t.units, nowMs);
-        seconds.add(Seconds.Sum.UNITS_SENT, nowMs, t.units);
-        seconds.add(Seconds.Sum.UNITS_BEYOND, nowMs, inside ? 0 : t.units);
+        seconds.add(PerSecondTotals.Metric.UNITS_SENT, nowMs, t.units);
+        seconds.add(PerSecondTotals.Metric.UNITS_BEYOND, nowMs, inside ? 0 : t.units);
         if (!t.measured) {
             return;
         }
@@ -64,7 +64,7 @@
     void refused(ClientRequest t, double nowMs) {
         Plan plan = customers.plan(t.customer);
         boolean room = stores.tokensAt(t.customer, nowMs) >= Math.max(t.units, plan.burst() / 2);
-        seconds.add(Seconds.Sum.REFUSED_WITH_ROOM, nowMs, room ? 1 : 0);
+        seconds.add(PerSecondTotals.Metric.REFUSED_WITH_ROOM, nowMs, room ? 1 : 0);
         if (room && t.measured) {
             refusedWithRoom++;
             lacking.add(t.customer, nowMs, t.units);
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -100,7 +100,7 @@
         Figures f = fleet.figures;
         put("calls", f.allCalls());
         put("calls_per_second_mean", f.allCalls() / options.seconds);
-        put("calls_per_second_max", f.seconds.most(Seconds.Sum.CALLS));
+        put("calls_per_second_max", f.seconds.max(PerSecondTotals.Metric.CALLS));
         put("calls_per_try", share(f.allCalls(), f.tries));
         put("calls_per_second_gateway_max", f.mostGatewayCalls());
         for (Figures.Call call : Figures.Call.values()) {
@@ -149,7 +149,7 @@
         line.put("run", run);
         line.put("arguments", arguments);
         line.put("figures", figures);
-        line.put("per_second", fleet.figures.seconds.all());
+        line.put("per_second", fleet.figures.seconds.toMap());
         line.put("costs", costs);
         try {
             String text = new ObjectMapper().writeValueAsString(line) + '\n';
