--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -50,7 +50,7 @@
     // ---- servers
 
     private void replaceServers(Fault f) {
-        fleet.figures.serversChange();
+        fleet.figures.serversChanged();
         int count = Math.min(f.count(), fleet.options.servers);
         for (int i = 0; i < count; i++) {
             SeatServer old = fleet.servers.get(chosen(i, count, fleet.options.servers));
@@ -81,7 +81,7 @@
 
     /** Their machines say nothing any more, and are back with a cold start. */
     private void lose(Fault f, Predicate<SeatServer> which) {
-        fleet.figures.serversChange();
+        fleet.figures.serversChanged();
         List<SeatServer> lost = new ArrayList<>(fleet.servers);
         lost.removeIf(s -> !which.test(s) || s.state() != SeatServer.State.SERVING);
         lost.forEach(SeatServer::vanish);
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -29,7 +29,7 @@
     final HollowOptions options;
     final Customers customers;
     final Quotas quotas;
-    final Figures figures;
+    final RunStatistics figures;
     final NetworkTopology zones;
     final DiscoveryStandIn discovery;
     final CounterStandIn counter; // null: none
@@ -48,8 +48,8 @@
     Fleet(HollowOptions options, int real, int hollow) {
         this.options = options;
         customers = new Customers(options);
-        figures = new Figures(options);
-        quotas = new Quotas(customers, figures.seconds);
+        figures = new RunStatistics(options);
+        quotas = new Quotas(customers, figures.perSecond);
         zones = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
         discovery = new DiscoveryStandIn(queue, options);
         counter = options.counterRate <= 0
@@ -145,19 +145,19 @@
         if (gateways[t.gateway] == null) {
             return; // no part of this run, nor are its clients
         }
-        figures.came(t);
+        figures.requestArrived(t);
         if (t.retryNumber == 0) {
             quotas.offer(t);
         }
         t.gateway = front.gatewayFor(t);
         if (!gateways[t.gateway].alive()) {
-            ended(t, Figures.End.NO_GATEWAY, 0);
+            ended(t, RunStatistics.RequestOutcome.NO_GATEWAY, 0);
             return;
         }
         admission
                 .refusalRetryAfterMs(t)
                 .ifPresentOrElse(
-                        retryAfterMs -> ended(t, Figures.End.REFUSED, retryAfterMs),
+                        retryAfterMs -> ended(t, RunStatistics.RequestOutcome.REFUSED, retryAfterMs),
                         () -> gateways[t.gateway].request(t));
     }
 
@@ -167,15 +167,15 @@
     }
 
     /** A try has its final answer. */
-    void ended(ClientRequest t, Figures.End end, double retryAfterMs) {
-        figures.ended(t, end, queue.now());
-        if (end == Figures.End.REFUSED) {
-            figures.refusedAdvised += t.measured && retryAfterMs > 0 ? 1 : 0;
+    void ended(ClientRequest t, RunStatistics.RequestOutcome end, double retryAfterMs) {
+        figures.requestEnded(t, end, queue.now());
+        if (end == RunStatistics.RequestOutcome.REFUSED) {
+            figures.refusedWithRetryAfter += t.measured && retryAfterMs > 0 ? 1 : 0;
             if (!t.dispatched) {
                 quotas.refused(t, queue.now());
             }
         }
-        if (end == Figures.End.REFUSED || end == Figures.End.NO_GATEWAY) {
+        if (end == RunStatistics.RequestOutcome.REFUSED || end == RunStatistics.RequestOutcome.NO_GATEWAY) {
             clients.again(t, retryAfterMs);
         }
     }
@@ -186,7 +186,7 @@
         FleetGateway from = a.gateway;
         SeatServer to = serversById.get(a.host);
         double now = queue.now();
-        figures.sent(from.number, to, to.zone != from.zone, now);
+        figures.attemptSent(from.number, to, to.zone != from.zone, now);
         double way = zones.latencyMs(from.zone, to.zone);
         if (!zones.canReach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
             queue.scheduleAfter(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -131,7 +131,7 @@
             ended(t.attempts.get(i), Outcome.TIMEOUT, 0);
         }
         if (!t.closed) {
-            close(t, Figures.End.UNANSWERED, 0);
+            close(t, RunStatistics.RequestOutcome.UNANSWERED, 0);
         }
     }
 
@@ -144,7 +144,7 @@
         ClientRequest t = a.request;
         boolean closes = outcome == Outcome.OK && !t.closed;
         if (closes) {
-            close(t, Figures.End.SERVED, 0);
+            close(t, RunStatistics.RequestOutcome.SERVED, 0);
         }
         AttemptResult r =
                 new AttemptResult(t.id, a.number, a.host, outcome, now() - a.sentAtMs, closes, usedPct, 0, NO_REPORT);
@@ -152,7 +152,7 @@
         forgetIfOver(t);
     }
 
-    private void close(ClientRequest t, Figures.End end, double retryAfterMs) {
+    private void close(ClientRequest t, RunStatistics.RequestOutcome end, double retryAfterMs) {
         undecided -= t.isUndecided() ? 1 : 0;
         t.closed = true;
         forgetIfOver(t);
@@ -178,7 +178,7 @@
         for (ClientRequest t : held) {
             t.attempts.forEach(a -> a.ended = true);
             if (!t.closed) {
-                close(t, Figures.End.NO_GATEWAY, 0);
+                close(t, RunStatistics.RequestOutcome.NO_GATEWAY, 0);
             }
         }
     }
@@ -204,7 +204,7 @@
         if (!t.dispatched) {
             undecided--;
             t.dispatched = true;
-            fleet.figures.left(t, now());
+            fleet.figures.requestDispatched(t, now());
         }
         if (timeoutMs > 0) {
             fleet.queue.scheduleAfter(timeoutMs, () -> ended(a, Outcome.TIMEOUT, 0));
@@ -224,15 +224,15 @@
 
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
-        actions.add(() -> answer(id, Figures.End.REFUSED, retryAfterMs));
+        actions.add(() -> answer(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
     }
 
     @Override
     public void fail(String id) {
-        actions.add(() -> answer(id, Figures.End.FAILED, 0));
+        actions.add(() -> answer(id, RunStatistics.RequestOutcome.FAILED, 0));
     }
 
-    private void answer(String id, Figures.End end, double retryAfterMs) {
+    private void answer(String id, RunStatistics.RequestOutcome end, double retryAfterMs) {
         ClientRequest t = open.get(id);
         if (t != null && !t.closed) {
             close(t, end, retryAfterMs);
@@ -260,8 +260,9 @@
     }
 
     private void call(Count c, boolean waits) {
-        Figures.Call kind = waits ? Figures.Call.REQUESTS_WAIT : Figures.Call.BACKGROUND;
-        fleet.figures.called(number, c.amount == 0 ? Figures.Call.READ : kind, now());
+        RunStatistics.CallPurpose kind =
+                waits ? RunStatistics.CallPurpose.REQUESTS_WAIT : RunStatistics.CallPurpose.BACKGROUND;
+        fleet.figures.counterCalled(number, c.amount == 0 ? RunStatistics.CallPurpose.READ : kind, now());
         if (fleet.counter == null || callsOut >= MOST_CALLS_OUT) {
             fleet.queue.scheduleAfter(0, () -> counted(c.name, Outcome.CONNECT_FAILED, 0));
             return;
@@ -274,7 +275,7 @@
     }
 
     private void counted(String name, Outcome outcome, double total) {
-        fleet.figures.callEnded(outcome, now());
+        fleet.figures.counterCallEnded(outcome, now());
         tell(Event.COUNTED, null, () -> module.counterCallEnded(now(), name, outcome, total));
     }
 
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/HollowRun.java
@@ -87,7 +87,7 @@
                         "scale: at %.1f of %.1f s, %d tries, %.0f s gone%n",
                         fleet.queue.now() / 1000,
                         options.endMs() / 1000 + options.idleSeconds,
-                        fleet.figures.allTries,
+                        fleet.figures.totalRequests,
                         (now - startedNanos) / 1e9);
             }
         }
--- a/src/main/java/deckfall/scale/PairedTimes.java
+++ b/src/main/java/deckfall/scale/PairedTimes.java
@@ -12,7 +12,7 @@
     final Histogram viaMicros = new Histogram(LONGEST_US, DIGITS);
     final Histogram directMicros = new Histogram(LONGEST_US, DIGITS);
     final Histogram addedMicros = new Histogram(LONGEST_US, DIGITS); // of each pair; less than nothing counts as 0
-    private final Map<Figures.End, Long> ends = new EnumMap<>(Figures.End.class);
+    private final Map<RunStatistics.RequestOutcome, Long> ends = new EnumMap<>(RunStatistics.RequestOutcome.class);
 
     void add(double viaMs, double directMs) {
         viaMicros.recordValue(Math.round(1000 * viaMs));
@@ -20,13 +20,13 @@
         addedMicros.recordValue(Math.max(0, Math.round(1000 * (viaMs - directMs))));
     }
 
-    void ended(ClientRequest t, Figures.End end) {
+    void ended(ClientRequest t, RunStatistics.RequestOutcome end) {
         if (t.measured) {
             ends.merge(end, 1L, Long::sum);
         }
     }
 
-    long ends(Figures.End end) {
+    long ends(RunStatistics.RequestOutcome end) {
         return ends.getOrDefault(end, 0L);
     }
 }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -88,7 +88,7 @@
             directs.remove(DIRECT + t.id);
             note(t, pair);
         });
-        fleet.queue.scheduleAt(t.deadlineMs + GRACE_MS, () -> close(t, Figures.End.UNANSWERED, 0));
+        fleet.queue.scheduleAt(t.deadlineMs + GRACE_MS, () -> close(t, RunStatistics.RequestOutcome.UNANSWERED, 0));
     }
 
     private void note(ClientRequest t, Pair pair) {
@@ -122,16 +122,19 @@
     private void answered(ClientRequest t, FullHttpResponse response) {
         int status = response == null ? 0 : response.status().code();
         if (status == OK) {
-            close(t, Figures.End.SERVED, 0);
+            close(t, RunStatistics.RequestOutcome.SERVED, 0);
         } else if (status == REFUSED || status == UNAVAILABLE) {
             String told = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-            close(t, Figures.End.REFUSED, told == null ? 0 : 1000 * Double.parseDouble(told));
+            close(t, RunStatistics.RequestOutcome.REFUSED, told == null ? 0 : 1000 * Double.parseDouble(told));
         } else {
-            close(t, response == null ? Figures.End.UNANSWERED : Figures.End.FAILED, 0);
+            close(
+                    t,
+                    response == null ? RunStatistics.RequestOutcome.UNANSWERED : RunStatistics.RequestOutcome.FAILED,
+                    0);
         }
     }
 
-    private void close(ClientRequest t, Figures.End end, double retryAfterMs) {
+    private void close(ClientRequest t, RunStatistics.RequestOutcome end, double retryAfterMs) {
         if (t.closed) {
             return;
         }
@@ -168,7 +171,7 @@
         t.attempts.add(a);
         t.dispatched = true;
         exchanges.put(a, from);
-        fleet.figures.sent(number, server, server.zone != zone, fleet.queue.now());
+        fleet.figures.attemptSent(number, server, server.zone != zone, fleet.queue.now());
         fleet.reach(a, server, 0);
     }
 
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -309,7 +309,7 @@
         double resident =
                 to.stream().mapToDouble(Sample::residentMegabytes).max().orElse(0);
         costs.put("real_resident_mb_max", Report.rounded(resident));
-        for (Figures.End end : Figures.End.values()) {
+        for (RunStatistics.RequestOutcome end : RunStatistics.RequestOutcome.values()) {
             costs.put("real_" + end.name().toLowerCase(java.util.Locale.ROOT), times.ends(end));
         }
         costs.put("real_pairs", times.viaMicros.getTotalCount());
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -54,27 +54,27 @@
     }
 
     private void tries() {
-        Figures f = fleet.figures;
-        put("tries_all", f.allTries);
-        put("answers_all", f.allEnds);
-        put("tries", f.tries);
-        put("first_tries", f.firstTries);
-        for (Figures.End end : Figures.End.values()) {
-            put(end.name().toLowerCase(java.util.Locale.ROOT), f.ends(end));
+        RunStatistics f = fleet.figures;
+        put("tries_all", f.totalRequests);
+        put("answers_all", f.totalAnswers);
+        put("tries", f.requests);
+        put("first_tries", f.firstRequests);
+        for (RunStatistics.RequestOutcome end : RunStatistics.RequestOutcome.values()) {
+            put(end.name().toLowerCase(java.util.Locale.ROOT), f.outcomes(end));
         }
-        put("refused_advised", f.refusedAdvised);
+        put("refused_advised", f.refusedWithRetryAfter);
         put("attempts", f.attempts);
-        Histogram h = f.holdMicros;
+        Histogram h = f.dispatchDelayMicros;
         put("added_ms_p50", h.getValueAtPercentile(50) / 1000.0);
         put("added_ms_p99", h.getValueAtPercentile(99) / 1000.0);
         put("added_ms_p99_9", h.getValueAtPercentile(99.9) / 1000.0);
     }
 
     private void quotas() {
-        Figures f = fleet.figures;
+        RunStatistics f = fleet.figures;
         Quotas q = fleet.quotas;
         put("refused_with_room", q.refusedWithRoom());
-        put("refused_with_room_share", share(q.refusedWithRoom(), f.tries));
+        put("refused_with_room_share", share(q.refusedWithRoom(), f.requests));
         put("units_sent", q.unitsSent());
         put("units_beyond", q.unitsBeyond());
         put("units_beyond_share", share(q.unitsBeyond(), q.unitsSent()));
@@ -97,19 +97,19 @@
     }
 
     private void counter() {
-        Figures f = fleet.figures;
-        put("calls", f.allCalls());
-        put("calls_per_second_mean", f.allCalls() / options.seconds);
-        put("calls_per_second_max", f.seconds.max(PerSecondTotals.Metric.CALLS));
-        put("calls_per_try", share(f.allCalls(), f.tries));
-        put("calls_per_second_gateway_max", f.mostGatewayCalls());
-        for (Figures.Call call : Figures.Call.values()) {
-            put("calls_" + call.name().toLowerCase(java.util.Locale.ROOT), f.calls.getOrDefault(call, 0L));
+        RunStatistics f = fleet.figures;
+        put("calls", f.totalCalls());
+        put("calls_per_second_mean", f.totalCalls() / options.seconds);
+        put("calls_per_second_max", f.perSecond.max(PerSecondTotals.Metric.CALLS));
+        put("calls_per_try", share(f.totalCalls(), f.requests));
+        put("calls_per_second_gateway_max", f.maxGatewayCallsInSecond());
+        for (RunStatistics.CallPurpose call : RunStatistics.CallPurpose.values()) {
+            put("calls_" + call.name().toLowerCase(java.util.Locale.ROOT), f.callsByPurpose.getOrDefault(call, 0L));
         }
-        put("calls_ok", f.callEnds.getOrDefault(Outcome.OK, 0L));
-        put("calls_busy", f.callEnds.getOrDefault(Outcome.FULL, 0L));
-        put("calls_timeout", f.callEnds.getOrDefault(Outcome.TIMEOUT, 0L));
-        put("calls_refused", f.callEnds.getOrDefault(Outcome.CONNECT_FAILED, 0L));
+        put("calls_ok", f.callOutcomes.getOrDefault(Outcome.OK, 0L));
+        put("calls_busy", f.callOutcomes.getOrDefault(Outcome.FULL, 0L));
+        put("calls_timeout", f.callOutcomes.getOrDefault(Outcome.TIMEOUT, 0L));
+        put("calls_refused", f.callOutcomes.getOrDefault(Outcome.CONNECT_FAILED, 0L));
         CounterStandIn counter = fleet.counter;
         put("counter_served_all", counter == null ? 0 : counter.served());
         put("counter_served_in_second_max", counter == null ? 0 : counter.mostServedInSecond());
@@ -117,11 +117,11 @@
     }
 
     private void hosts() {
-        Figures f = fleet.figures;
+        RunStatistics f = fleet.figures;
         put("hosts_used_per_gateway", f.hostsUsed());
         put("hosts_used_before_change", f.hostsUsedBefore());
         put("hosts_newly_used_per_gateway", f.hostsNewlyUsed());
-        put("attempts_outside_zone_share", share(f.attemptsElsewhere, f.attempts));
+        put("attempts_outside_zone_share", share(f.crossZoneAttempts, f.attempts));
         put("gateways_started", fleet.gatewaysStarted());
         put("lists_told", fleet.discovery.told());
     }
@@ -149,7 +149,7 @@
         line.put("run", run);
         line.put("arguments", arguments);
         line.put("figures", figures);
-        line.put("per_second", fleet.figures.seconds.toMap());
+        line.put("per_second", fleet.figures.perSecond.toMap());
         line.put("costs", costs);
         try {
             String text = new ObjectMapper().writeValueAsString(line) + '\n';
--- /dev/null
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -0,0 +1,171 @@
+package deckfall.scale;
+
+import deckfall.Gateway.Outcome;
+import java.util.BitSet;
+import java.util.EnumMap;
+import java.util.Map;
+import org.HdrHistogram.Histogram;
+
+/** What is counted in a run. All but the answers to all tries is of the measured time alone. */
+final class RunStatistics {
+    /** How a try ended; {@code UNANSWERED} by the module until its client's time was up, which is a defect. */
+    enum RequestOutcome {
+        SERVED,
+        REFUSED,
+        FAILED,
+        UNANSWERED,
+        NO_GATEWAY
+    }
+
+    /** What a counter call is for. */
+    enum CallPurpose {
+        READ,
+        REQUESTS_WAIT,
+        BACKGROUND
+    }
+
+    private static final long MAX_DISPATCH_DELAY_US = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+
+    private final HollowOptions options;
+    final Map<RequestOutcome, Long> outcomes = new EnumMap<>(RequestOutcome.class);
+    final Map<CallPurpose, Long> callsByPurpose = new EnumMap<>(CallPurpose.class);
+    final Map<Outcome, Long> callOutcomes = new EnumMap<>(Outcome.class);
+    final Histogram dispatchDelayMicros = new Histogram(MAX_DISPATCH_DELAY_US, SIGNIFICANT_DIGITS);
+    long totalRequests;
+    long totalAnswers;
+    long requests;
+    long firstRequests;
+    long refusedWithRetryAfter; // with a time to come back
+    long attempts;
+    long crossZoneAttempts; // out of the own zone
+    private final int[] gatewayCallsInSecond;
+    private final long[] gatewaySecond;
+    private int maxGatewayCallsInSecond;
+    final PerSecondTotals perSecond;
+    private final BitSet[] usedServers;
+    private final BitSet[] usedServersBefore;
+
+    RunStatistics(HollowOptions options) {
+        this.options = options;
+        perSecond = new PerSecondTotals(options.warmUpMs(), (int) Math.ceil(options.seconds));
+        gatewayCallsInSecond = new int[options.gateways];
+        gatewaySecond = new long[options.gateways];
+        usedServers = new BitSet[options.gateways];
+        usedServersBefore = new BitSet[options.gateways];
+        for (int gateway = 0; gateway < options.gateways; gateway++) {
+            usedServers[gateway] = new BitSet();
+            usedServersBefore[gateway] = new BitSet();
+        }
+    }
+
+    private boolean isMeasured(double nowMs) {
+        return nowMs >= options.warmUpMs() && nowMs < options.endMs();
+    }
+
+    private static <K> void increment(Map<K, Long> counts, K key) {
+        counts.merge(key, 1L, Long::sum);
+    }
+
+    void requestArrived(ClientRequest request) {
+        totalRequests++;
+        perSecond.add(PerSecondTotals.Metric.TRIES, request.arrivedMs, 1);
+        requests += request.measured ? 1 : 0;
+        firstRequests += request.measured && request.retryNumber == 0 ? 1 : 0;
+    }
+
+    void requestEnded(ClientRequest request, RequestOutcome outcome, double nowMs) {
+        totalAnswers++;
+        if (outcome == RequestOutcome.SERVED || outcome == RequestOutcome.REFUSED) {
+            perSecond.add(
+                    outcome == RequestOutcome.SERVED ? PerSecondTotals.Metric.SERVED : PerSecondTotals.Metric.REFUSED,
+                    nowMs,
+                    1);
+        }
+        if (request.measured) {
+            increment(outcomes, outcome);
+        }
+    }
+
+    void requestDispatched(ClientRequest request, double nowMs) {
+        if (request.measured) {
+            dispatchDelayMicros.recordValue(Math.round(1000 * (nowMs - request.arrivedMs)));
+        }
+    }
+
+    void attemptSent(int gateway, SeatServer server, boolean crossZone, double nowMs) {
+        if (isMeasured(nowMs)) {
+            attempts++;
+            crossZoneAttempts += crossZone ? 1 : 0;
+            usedServers[gateway].set(server.index);
+        }
+    }
+
+    void counterCalled(int gateway, CallPurpose purpose, double nowMs) {
+        if (!isMeasured(nowMs)) {
+            return;
+        }
+        increment(callsByPurpose, purpose);
+        long second = (long) ((nowMs - options.warmUpMs()) / 1000);
+        perSecond.add(PerSecondTotals.Metric.CALLS, nowMs, 1);
+        gatewayCallsInSecond[gateway] = gatewaySecond[gateway] == second ? gatewayCallsInSecond[gateway] + 1 : 1;
+        gatewaySecond[gateway] = second;
+        maxGatewayCallsInSecond = Math.max(maxGatewayCallsInSecond, gatewayCallsInSecond[gateway]);
+    }
+
+    void counterCallEnded(Outcome outcome, double nowMs) {
+        if (isMeasured(nowMs)) {
+            perSecond.add(PerSecondTotals.Metric.CALLS_OK, nowMs, outcome == Outcome.OK ? 1 : 0);
+            increment(callOutcomes, outcome);
+        }
+    }
+
+    long outcomes(RequestOutcome outcome) {
+        return outcomes.getOrDefault(outcome, 0L);
+    }
+
+    long totalCalls() {
+        return callsByPurpose.values().stream().mapToLong(count -> count).sum();
+    }
+
+    int maxGatewayCallsInSecond() {
+        return maxGatewayCallsInSecond;
+    }
+
+    /** The servers change now: which ones each gateway uses from here on is held against those of before. */
+    void serversChanged() {
+        for (int gateway = 0; gateway < usedServers.length; gateway++) {
+            usedServersBefore[gateway].or(usedServers[gateway]);
+            usedServers[gateway].clear();
+        }
+    }
+
+    /** In the mean of all gateways; since the last change of servers, where there was one. */
+    double hostsUsed() {
+        return mean(usedServers);
+    }
+
+    double hostsUsedBefore() {
+        return mean(usedServersBefore);
+    }
+
+    private static double mean(BitSet[] sets) {
+        double sum = 0;
+        for (BitSet set : sets) {
+            sum += set.cardinality();
+        }
+        return sum / sets.length;
+    }
+
+    /** Servers of the first list that a gateway uses only since the change, in the mean; 0 without a change. */
+    double hostsNewlyUsed() {
+        double sum = 0;
+        for (int gateway = 0; gateway < usedServers.length; gateway++) {
+            BitSet newlyUsed = (BitSet) usedServers[gateway].clone();
+            newlyUsed.andNot(usedServersBefore[gateway]);
+            newlyUsed.clear(options.servers, Math.max(options.servers, newlyUsed.length()));
+            sum += usedServersBefore[gateway].isEmpty() ? 0 : newlyUsed.cardinality();
+        }
+        return sum / usedServers.length;
+    }
+}
