--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -37,7 +37,7 @@
     private final Fleet fleet;
     private final Pace pace;
     private final Settings settings;
-    private final PairedTimes times;
+    private final PairedLatencies times;
     private final HttpPool clients;
     private final HttpPool direct;
     private final Map<String, ClientRequest> open = new LinkedHashMap<>();
@@ -45,7 +45,13 @@
     private final Map<ClientRequest.Attempt, ChannelHandlerContext> exchanges = new HashMap<>();
 
     RealGateway(
-            Fleet fleet, Pace pace, Settings settings, int zone, PairedTimes times, HttpPool clients, HttpPool direct) {
+            Fleet fleet,
+            Pace pace,
+            Settings settings,
+            int zone,
+            PairedLatencies times,
+            HttpPool clients,
+            HttpPool direct) {
         super(settings.gatewayNumber(), zone);
         this.fleet = fleet;
         this.pace = pace;
@@ -140,7 +146,7 @@
         }
         t.closed = true;
         open.remove(t.id);
-        times.ended(t, end);
+        times.requestEnded(t, end);
         fleet.ended(t, end, retryAfterMs);
     }
 
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -61,7 +61,7 @@
     private final RealOptions options;
     private final PrintStream progress;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final PairedTimes times = new PairedTimes();
+    private final PairedLatencies times = new PairedLatencies();
     private final List<Member> members = new ArrayList<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>(); // of servers
     private final Map<String, Object> costs = new LinkedHashMap<>();
@@ -310,10 +310,10 @@
                 to.stream().mapToDouble(Sample::residentMegabytes).max().orElse(0);
         costs.put("real_resident_mb_max", Report.rounded(resident));
         for (RunStatistics.RequestOutcome end : RunStatistics.RequestOutcome.values()) {
-            costs.put("real_" + end.name().toLowerCase(java.util.Locale.ROOT), times.ends(end));
+            costs.put("real_" + end.name().toLowerCase(java.util.Locale.ROOT), times.outcomes(end));
         }
-        costs.put("real_pairs", times.viaMicros.getTotalCount());
-        told("via", times.viaMicros);
+        costs.put("real_pairs", times.gatewayMicros.getTotalCount());
+        told("via", times.gatewayMicros);
         told("direct", times.directMicros);
         told("added", times.addedMicros);
         costs.put("clock_late_ms_max", Report.rounded(late));
