--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -28,7 +28,7 @@
     final EventQueue queue = new EventQueue();
     final HollowOptions options;
     final Customers customers;
-    final Quotas quotas;
+    final QuotaAccounting quotas;
     final RunStatistics figures;
     final NetworkTopology zones;
     final DiscoveryStandIn discovery;
@@ -49,7 +49,7 @@
         this.options = options;
         customers = new Customers(options);
         figures = new RunStatistics(options);
-        quotas = new Quotas(customers, figures.perSecond);
+        quotas = new QuotaAccounting(customers, figures.perSecond);
         zones = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
         discovery = new DiscoveryStandIn(queue, options);
         counter = options.counterRate <= 0
@@ -147,7 +147,7 @@
         }
         figures.requestArrived(t);
         if (t.retryNumber == 0) {
-            quotas.offer(t);
+            quotas.requestOffered(t);
         }
         t.gateway = front.gatewayFor(t);
         if (!gateways[t.gateway].alive()) {
@@ -172,7 +172,7 @@
         if (end == RunStatistics.RequestOutcome.REFUSED) {
             figures.refusedWithRetryAfter += t.measured && retryAfterMs > 0 ? 1 : 0;
             if (!t.dispatched) {
-                quotas.refused(t, queue.now());
+                quotas.requestRefused(t, queue.now());
             }
         }
         if (end == RunStatistics.RequestOutcome.REFUSED || end == RunStatistics.RequestOutcome.NO_GATEWAY) {
@@ -206,7 +206,7 @@
         }
         if (!a.request.quotaCharged) {
             a.request.quotaCharged = true;
-            quotas.take(a.request, queue.now());
+            quotas.requestReachedServer(a.request, queue.now());
             meter.use(a.request.customer, a.request.units, queue.now());
         }
         to.take(a, outcome -> {
--- /dev/null
+++ b/src/main/java/deckfall/scale/QuotaAccounting.java
@@ -0,0 +1,159 @@
+package deckfall.scale;
+
+import deckfall.Gateway.Plan;
+
+/**
+ * The truth on quotas, which no gateway sees: each customer's store over all gateways, what was sent on beyond it,
+ * and what was refused though half of it lay unused. Beside it a store that sees all first tries, which tells the
+ * worth that was offered inside the quotas.
+ */
+final class QuotaAccounting {
+    static final double WINDOW_MS = 5000; // in which a customer's excess and lack are added up
+
+    private final Customers customers;
+    private final PerSecondTotals perSecond;
+    private final TokenBuckets buckets;
+    private final TokenBuckets offeredBuckets;
+    private final WindowMaxima overQuotaWindows;
+    private final WindowMaxima refusedInQuotaWindows;
+    private double unitsSent;
+    private double unitsOverQuota;
+    private double overQuotaCost;
+    private double worthOfferedInQuota;
+    private double worthSentInQuota;
+    private long refusedInQuota;
+
+    QuotaAccounting(Customers customers, PerSecondTotals perSecond) {
+        this.perSecond = perSecond;
+        this.customers = customers;
+        buckets = new TokenBuckets(customers);
+        offeredBuckets = new TokenBuckets(customers);
+        overQuotaWindows = new WindowMaxima(customers.count());
+        refusedInQuotaWindows = new WindowMaxima(customers.count());
+    }
+
+    /** A client's first try, whichever gateway it goes to. */
+    void requestOffered(ClientRequest request) {
+        boolean inQuota = offeredBuckets.tryTake(request.customer, request.units, request.arrivedMs);
+        worthOfferedInQuota += inQuota && request.measured ? worth(request) : 0;
+    }
+
+    /** A try's first attempt has come to a seat server. */
+    void requestReachedServer(ClientRequest request, double nowMs) {
+        boolean inQuota = buckets.tryTake(request.customer, request.units, nowMs);
+        perSecond.add(PerSecondTotals.Metric.UNITS_SENT, nowMs, request.units);
+        perSecond.add(PerSecondTotals.Metric.UNITS_BEYOND, nowMs, inQuota ? 0 : request.units);
+        if (!request.measured) {
+            return;
+        }
+        unitsSent += request.units;
+        if (inQuota) {
+            worthSentInQuota += worth(request);
+            return;
+        }
+        unitsOverQuota += request.units;
+        overQuotaCost += customers.plan(request.customer).excessCost() * worth(request);
+        overQuotaWindows.add(request.customer, nowMs, request.units);
+    }
+
+    private double worth(ClientRequest request) {
+        return customers.plan(request.customer).valueFactor() * request.units;
+    }
+
+    /** A try that was never sent on was refused: with room, where half of the store lay unused. */
+    void requestRefused(ClientRequest request, double nowMs) {
+        Plan plan = customers.plan(request.customer);
+        boolean inQuota = buckets.tokensAt(request.customer, nowMs) >= Math.max(request.units, plan.burst() / 2);
+        perSecond.add(PerSecondTotals.Metric.REFUSED_WITH_ROOM, nowMs, inQuota ? 1 : 0);
+        if (inQuota && request.measured) {
+            refusedInQuota++;
+            refusedInQuotaWindows.add(request.customer, nowMs, request.units);
+        }
+    }
+
+    double unitsSent() {
+        return unitsSent;
+    }
+
+    double unitsOverQuota() {
+        return unitsOverQuota;
+    }
+
+    double worthOfferedInQuota() {
+        return worthOfferedInQuota;
+    }
+
+    /** What was sent on inside quotas, further tries as well. */
+    double worthSentInQuota() {
+        return worthSentInQuota;
+    }
+
+    /** The cost of use beyond quotas as a share of the worth offered inside them. */
+    double overQuotaCostShare() {
+        return worthOfferedInQuota > 0 ? overQuotaCost / worthOfferedInQuota : 0;
+    }
+
+    /** The worth sent on inside quotas as a share of the worth offered inside them by first tries. */
+    double servedWorthShare() {
+        return worthOfferedInQuota > 0 ? worthSentInQuota / worthOfferedInQuota : 0;
+    }
+
+    long refusedInQuota() {
+        return refusedInQuota;
+    }
+
+    /** Units beyond the quota by customer, in windows of time. */
+    WindowMaxima overQuotaWindows() {
+        return overQuotaWindows;
+    }
+
+    /** Units refused with room by customer, in windows of time. */
+    WindowMaxima refusedInQuotaWindows() {
+        return refusedInQuotaWindows;
+    }
+
+    /** The most that each customer had of something in any window. */
+    static final class WindowMaxima {
+        private final long[] windowIndex;
+        private final double[] windowUnits;
+        private final double[] maxUnits;
+
+        WindowMaxima(int customerCount) {
+            windowIndex = new long[customerCount];
+            windowUnits = new double[customerCount];
+            maxUnits = new double[customerCount];
+        }
+
+        void add(int customer, double nowMs, double units) {
+            long currentWindow = (long) (nowMs / WINDOW_MS);
+            windowUnits[customer] = currentWindow == windowIndex[customer] ? windowUnits[customer] + units : units;
+            windowIndex[customer] = currentWindow;
+            maxUnits[customer] = Math.max(maxUnits[customer], windowUnits[customer]);
+        }
+
+        double max() {
+            double max = 0;
+            for (double units : maxUnits) {
+                max = Math.max(max, units);
+            }
+            return max;
+        }
+
+        int customerCount() {
+            int count = 0;
+            for (double units : maxUnits) {
+                count += units > 0 ? 1 : 0;
+            }
+            return count;
+        }
+
+        /** Of the customers that had any. */
+        double mean() {
+            double sum = 0;
+            for (double units : maxUnits) {
+                sum += units;
+            }
+            return sum / Math.max(1, customerCount());
+        }
+    }
+}
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -72,28 +72,28 @@
 
     private void quotas() {
         RunStatistics f = fleet.figures;
-        Quotas q = fleet.quotas;
-        put("refused_with_room", q.refusedWithRoom());
-        put("refused_with_room_share", share(q.refusedWithRoom(), f.requests));
+        QuotaAccounting q = fleet.quotas;
+        put("refused_with_room", q.refusedInQuota());
+        put("refused_with_room_share", share(q.refusedInQuota(), f.requests));
         put("units_sent", q.unitsSent());
-        put("units_beyond", q.unitsBeyond());
-        put("units_beyond_share", share(q.unitsBeyond(), q.unitsSent()));
-        put("over_quota_price", q.overQuotaPrice());
+        put("units_beyond", q.unitsOverQuota());
+        put("units_beyond_share", share(q.unitsOverQuota(), q.unitsSent()));
+        put("over_quota_price", q.overQuotaCostShare());
         put("served_worth_share", q.servedWorthShare());
-        put("beyond_customers", q.beyond().customers());
-        put("beyond_units_5s_largest", q.beyond().largest());
-        put("beyond_units_5s_mean", q.beyond().mean());
-        put("lacking_customers", q.lacking().customers());
-        put("lacking_units_5s_largest", q.lacking().largest());
-        put("lacking_units_5s_mean", q.lacking().mean());
+        put("beyond_customers", q.overQuotaWindows().customerCount());
+        put("beyond_units_5s_largest", q.overQuotaWindows().max());
+        put("beyond_units_5s_mean", q.overQuotaWindows().mean());
+        put("lacking_customers", q.refusedInQuotaWindows().customerCount());
+        put("lacking_units_5s_largest", q.refusedInQuotaWindows().max());
+        put("lacking_units_5s_mean", q.refusedInQuotaWindows().mean());
     }
 
     /** How a reference policy did on the same tries, beside the module. */
     void addReference(String name, Fleet reference) {
-        Quotas q = reference.quotas;
-        put(name + "_over_quota_price", q.overQuotaPrice());
+        QuotaAccounting q = reference.quotas;
+        put(name + "_over_quota_price", q.overQuotaCostShare());
         put(name + "_served_worth_share", q.servedWorthShare());
-        put("over_quota_price_above_" + name, fleet.quotas.overQuotaPrice() - q.overQuotaPrice());
+        put("over_quota_price_above_" + name, fleet.quotas.overQuotaCostShare() - q.overQuotaCostShare());
     }
 
     private void counter() {
