--- a/src/main/java/deckfall/scale/Clients.java
+++ b/src/main/java/deckfall/scale/Clients.java
@@ -54,8 +54,8 @@
     void start(double until) {
         endMs = until;
         for (int c = 0; c < customers.count(); c++) {
-            rate[c] = customers.asked(c) / meanUnits / 1000;
-            phaseEnd[c] = customers.spiky(c) ? queue.now() + draw(c) * CALM_TO_MS : Double.POSITIVE_INFINITY;
+            rate[c] = customers.baseUnitsPerSecond(c) / meanUnits / 1000;
+            phaseEnd[c] = customers.isSpiky(c) ? queue.now() + draw(c) * CALM_TO_MS : Double.POSITIVE_INFINITY;
             next(c);
         }
     }
@@ -86,7 +86,9 @@
     private void turn(int c) {
         spike[c] = !spike[c];
         double planned = customers.plan(c).rate() / meanUnits / 1000;
-        rate[c] = spike[c] ? planned * draw(c, SPIKE_LEAST, SPIKE_MOST) : customers.asked(c) / meanUnits / 1000;
+        rate[c] = spike[c]
+                ? planned * draw(c, SPIKE_LEAST, SPIKE_MOST)
+                : customers.baseUnitsPerSecond(c) / meanUnits / 1000;
         phaseEnd[c] += spike[c] ? draw(c, SPIKE_FROM_MS, SPIKE_TO_MS) : draw(c, CALM_FROM_MS, CALM_TO_MS);
     }
 
--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -11,123 +11,134 @@
  */
 final class Customers {
     /** The mean of the shares below, by which the mix of plans is found. */
-    private static final double MEAN_SHARE = 0.8;
+    private static final double MEAN_LOAD_SHARE = 0.8;
 
-    private static final double FULL = 0.2; // shares of the customers
-    private static final double HEAVY = 0.08;
-    private static final double SPIKY = 0.17;
-    private static final double SPIKY_SHARE = 0.3; // of the rate, between spikes
-    private static final double TILT_MOST = 16;
-    private static final int BISECTIONS = 60;
+    private static final double NEAR_QUOTA_CUSTOMER_SHARE = 0.2; // shares of the customers
+    private static final double OVER_QUOTA_CUSTOMER_SHARE = 0.08;
+    private static final double SPIKY_CUSTOMER_SHARE = 0.17;
+    private static final double SPIKY_BASE_LOAD_SHARE = 0.3; // of the rate, between spikes
+    private static final double MAX_RATE_EXPONENT = 16;
+    private static final int BISECTION_STEPS = 60;
 
     /** What a customer asks for, as share of its rate. */
-    enum Kind {
-        CALM(0.15, 0.5),
-        FULL(0.9, 1),
-        HEAVY(2.3, 4),
-        SPIKY(SPIKY_SHARE, SPIKY_SHARE);
-
-        private final double least;
-        private final double most;
-
-        Kind(double least, double most) {
-            this.least = least;
-            this.most = most;
+    enum LoadProfile {
+        LIGHT(0.15, 0.5),
+        NEAR_QUOTA(0.9, 1),
+        OVER_QUOTA(2.3, 4),
+        SPIKY(SPIKY_BASE_LOAD_SHARE, SPIKY_BASE_LOAD_SHARE);
+
+        private final double minShare;
+        private final double maxShare;
+
+        LoadProfile(double minShare, double maxShare) {
+            this.minShare = minShare;
+            this.maxShare = maxShare;
         }
     }
 
-    private static final List<Plan> PLANS = List.of(
+    private static final List<Plan> BASE_PLANS = List.of(
             plan("free", 0.8, 4.5, 0.5, 1.2), plan("team", 1.5, 4.8, 0.8, 0.8),
             plan("firm", 5, 2, 1.2, 0.8), plan("group", 12, 2, 1.6, 1.2));
 
     private final List<Plan> plans = new ArrayList<>();
-    private final byte[] planOf;
-    private final Kind[] kindOf;
-    private final double[] asked; // units a second, spikes apart
+    private final byte[] planIndexes;
+    private final LoadProfile[] profiles;
+    private final double[] baseUnitsPerSecond; // units a second, spikes apart
     private final int[] first;
     private final int spread;
 
-    private static Plan plan(String name, double rate, double burstSeconds, double price, double overCost) {
-        return new Plan(name, rate, rate * burstSeconds, 0, price, 0, overCost, 0, 0, 0);
+    private static Plan plan(String name, double rate, double burstSeconds, double valueFactor, double excessCost) {
+        return new Plan(name, rate, rate * burstSeconds, 0, valueFactor, 0, excessCost, 0, 0, 0);
     }
 
-    Customers(HollowOptions o) {
-        int count = o.tenants;
-        spread = Math.min(o.spread, o.gateways);
-        double wantedRate = o.requestsPerSecond * (1 + o.maxUnits) / 2.0 / count / MEAN_SHARE;
-        double tilt = tilt(wantedRate);
-        double scale = Math.abs(tilt) < TILT_MOST ? 1 : wantedRate / meanRate(tilt);
-        for (Plan p : PLANS) {
+    Customers(HollowOptions options) {
+        int count = options.tenants;
+        spread = Math.min(options.spread, options.gateways);
+        double targetRate = options.requestsPerSecond * (1 + options.maxUnits) / 2.0 / count / MEAN_LOAD_SHARE;
+        double rateExponent = findRateExponent(targetRate);
+        double rateFactor = Math.abs(rateExponent) < MAX_RATE_EXPONENT ? 1 : targetRate / meanRate(rateExponent);
+        for (Plan plan : BASE_PLANS) {
             plans.add(new Plan(
-                    p.name(),
-                    p.rate() * scale,
-                    p.burst() * scale,
-                    o.openLimit,
-                    p.valueFactor(),
-                    p.excessWorth(),
-                    p.excessCost(),
+                    plan.name(),
+                    plan.rate() * rateFactor,
+                    plan.burst() * rateFactor,
+                    options.openLimit,
+                    plan.valueFactor(),
+                    plan.excessWorth(),
+                    plan.excessCost(),
                     0,
                     0,
                     0));
         }
-        planOf = new byte[count];
-        kindOf = new Kind[count];
-        asked = new double[count];
+        planIndexes = new byte[count];
+        profiles = new LoadProfile[count];
+        baseUnitsPerSecond = new double[count];
         first = new int[count];
-        for (int c = 0; c < count; c++) {
-            long seed = HashRandom.mix(o.seed, c);
-            planOf[c] = (byte) drawPlan(tilt, HashRandom.uniform(seed, -1));
-            kindOf[c] = drawKind(HashRandom.uniform(seed, -2));
-            first[c] = (int) (HashRandom.uniform(seed, -3) * o.gateways);
-            asked[c] = plan(c).rate() * HashRandom.uniformBetween(kindOf[c].least, kindOf[c].most, seed, -4);
+        for (int customer = 0; customer < count; customer++) {
+            long seed = HashRandom.mix(options.seed, customer);
+            planIndexes[customer] = (byte) drawPlan(rateExponent, HashRandom.uniform(seed, -1));
+            profiles[customer] = drawProfile(HashRandom.uniform(seed, -2));
+            first[customer] = (int) (HashRandom.uniform(seed, -3) * options.gateways);
+            baseUnitsPerSecond[customer] = plan(customer).rate()
+                    * HashRandom.uniformBetween(profiles[customer].minShare, profiles[customer].maxShare, seed, -4);
         }
     }
 
-    private static double weight(Plan p, double tilt) {
-        return Math.pow(p.rate(), tilt);
+    private static double weight(Plan plan, double rateExponent) {
+        return Math.pow(plan.rate(), rateExponent);
     }
 
-    private static double meanRate(double tilt) {
-        double sum = PLANS.stream().mapToDouble(p -> weight(p, tilt)).sum();
-        return PLANS.stream().mapToDouble(p -> weight(p, tilt) * p.rate()).sum() / sum;
+    private static double meanRate(double rateExponent) {
+        double weightSum = BASE_PLANS.stream()
+                .mapToDouble(plan -> weight(plan, rateExponent))
+                .sum();
+        return BASE_PLANS.stream()
+                        .mapToDouble(plan -> weight(plan, rateExponent) * plan.rate())
+                        .sum()
+                / weightSum;
     }
 
-    private static double tilt(double wantedRate) {
-        double low = -TILT_MOST;
-        double high = TILT_MOST;
-        if (meanRate(low) >= wantedRate || meanRate(high) <= wantedRate) {
-            return meanRate(low) >= wantedRate ? low : high;
+    private static double findRateExponent(double targetRate) {
+        double low = -MAX_RATE_EXPONENT;
+        double high = MAX_RATE_EXPONENT;
+        if (meanRate(low) >= targetRate || meanRate(high) <= targetRate) {
+            return meanRate(low) >= targetRate ? low : high;
         }
-        for (int i = 0; i < BISECTIONS; i++) {
+        for (int i = 0; i < BISECTION_STEPS; i++) {
             double middle = (low + high) / 2;
-            boolean above = meanRate(middle) > wantedRate;
+            boolean above = meanRate(middle) > targetRate;
             low = above ? low : middle;
             high = above ? middle : high;
         }
         return low;
     }
 
-    private static int drawPlan(double tilt, double drawn) {
-        double left = drawn * PLANS.stream().mapToDouble(p -> weight(p, tilt)).sum();
-        int plan = 0;
-        while (plan < PLANS.size() - 1 && left >= weight(PLANS.get(plan), tilt)) {
-            left -= weight(PLANS.get(plan++), tilt);
+    private static int drawPlan(double rateExponent, double drawn) {
+        double remaining = drawn
+                * BASE_PLANS.stream()
+                        .mapToDouble(plan -> weight(plan, rateExponent))
+                        .sum();
+        int index = 0;
+        while (index < BASE_PLANS.size() - 1 && remaining >= weight(BASE_PLANS.get(index), rateExponent)) {
+            remaining -= weight(BASE_PLANS.get(index++), rateExponent);
         }
-        return plan;
+        return index;
     }
 
-    private static Kind drawKind(double drawn) {
-        if (drawn < FULL) {
-            return Kind.FULL;
+    private static LoadProfile drawProfile(double drawn) {
+        if (drawn < NEAR_QUOTA_CUSTOMER_SHARE) {
+            return LoadProfile.NEAR_QUOTA;
         }
-        if (drawn < FULL + HEAVY) {
-            return Kind.HEAVY;
+        if (drawn < NEAR_QUOTA_CUSTOMER_SHARE + OVER_QUOTA_CUSTOMER_SHARE) {
+            return LoadProfile.OVER_QUOTA;
         }
-        return drawn < FULL + HEAVY + SPIKY ? Kind.SPIKY : Kind.CALM;
+        return drawn < NEAR_QUOTA_CUSTOMER_SHARE + OVER_QUOTA_CUSTOMER_SHARE + SPIKY_CUSTOMER_SHARE
+                ? LoadProfile.SPIKY
+                : LoadProfile.LIGHT;
     }
 
     int count() {
-        return planOf.length;
+        return planIndexes.length;
     }
 
     List<Plan> plans() {
@@ -137,25 +148,26 @@
     /** The plans as gateways are told of them where another decides on quotas. */
     List<Plan> plansWithoutQuotas() {
         return plans.stream()
-                .map(p -> new Plan(p.name(), 0, 0, 0, p.valueFactor(), p.excessWorth(), p.excessCost(), 0, 0, 0))
+                .map(plan -> new Plan(
+                        plan.name(), 0, 0, 0, plan.valueFactor(), plan.excessWorth(), plan.excessCost(), 0, 0, 0))
                 .toList();
     }
 
     Plan plan(int customer) {
-        return plans.get(planOf[customer]);
+        return plans.get(planIndexes[customer]);
     }
 
     /** The number that gateways know it by. */
-    long idOf(int customer) {
+    long gatewayId(int customer) {
         return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
 
-    boolean spiky(int customer) {
-        return kindOf[customer] == Kind.SPIKY;
+    boolean isSpiky(int customer) {
+        return profiles[customer] == LoadProfile.SPIKY;
     }
 
-    double asked(int customer) {
-        return asked[customer];
+    double baseUnitsPerSecond(int customer) {
+        return baseUnitsPerSecond[customer];
     }
 
     int first(int customer) {
--- a/src/main/java/deckfall/scale/HollowGateway.java
+++ b/src/main/java/deckfall/scale/HollowGateway.java
@@ -114,7 +114,7 @@
                 t.deadlineMs,
                 false,
                 settings.classes().get(t.requestClass).name(),
-                customers.idOf(t.customer),
+                customers.gatewayId(t.customer),
                 customers.plan(t.customer).name(),
                 t.units,
                 customers.first(t.customer),
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -116,7 +116,7 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set(SeatListener.TRACE, id)
                 .set("X-Plan", customers.plan(t.customer).name())
-                .set("X-Customer", String.format("%016x", customers.idOf(t.customer)))
+                .set("X-Customer", String.format("%016x", customers.gatewayId(t.customer)))
                 .set("X-Expires-In-Ms", (long) fleet.options.deadlineMs)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(
