--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -36,7 +36,7 @@
     final List<SeatServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
     final Front front;
-    private final Clients clients;
+    private final SimulatedClients clients;
     private final Meter meter;
     private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
@@ -61,7 +61,7 @@
                         options.counterMs,
                         options.counterLine * options.counterTimeoutMs);
         meter = new Meter(customers, options.meterPeriodMs, options.meterLateMs);
-        clients = new Clients(queue, options, customers, this::arrive);
+        clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
         front = new Front(this);
         for (int i = 0; i < options.classes; i++) {
@@ -176,7 +176,7 @@
             }
         }
         if (end == RunStatistics.RequestOutcome.REFUSED || end == RunStatistics.RequestOutcome.NO_GATEWAY) {
-            clients.again(t, retryAfterMs);
+            clients.retryOrGiveUp(t, retryAfterMs);
         }
     }
 
--- a/src/main/java/deckfall/scale/HollowOptions.java
+++ b/src/main/java/deckfall/scale/HollowOptions.java
@@ -198,7 +198,7 @@
         within("--deadline-ms", deadlineMs, goalMs, MOST_MS);
         within("--max-units", maxUnits, 1, MOST_CLASSES);
         within("--open-limit", openLimit, 0, MOST_CLASSES);
-        within("--retries", retries, 0, Clients.MOST_EARLIER);
+        within("--retries", retries, 0, SimulatedClients.MAX_RETRIES);
         within("--retry-share", retryShare, 0, 1);
         within("--near-ms", nearMs, 0, MOST_MS);
         within("--region-ms", regionMs, 0, MOST_MS);
