--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -37,7 +37,7 @@
     final FleetGateway[] gateways;
     final Front front;
     private final SimulatedClients clients;
-    private final Meter meter;
+    private final SimulatedMeter meter;
     private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
     private AdmissionPolicy admission = AdmissionPolicy.DECIDED_BY_GATEWAYS;
@@ -60,7 +60,7 @@
                         options.counterParts,
                         options.counterMs,
                         options.counterLine * options.counterTimeoutMs);
-        meter = new Meter(customers, options.meterPeriodMs, options.meterLateMs);
+        meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterLateMs);
         clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
         front = new Front(this);
@@ -207,12 +207,12 @@
         if (!a.request.quotaCharged) {
             a.request.quotaCharged = true;
             quotas.requestReachedServer(a.request, queue.now());
-            meter.use(a.request.customer, a.request.units, queue.now());
+            meter.recordUse(a.request.customer, a.request.units, queue.now());
         }
         to.take(a, outcome -> {
             if (zones.canReach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
-                int used = tells ? meter.told(a.request.customer, queue.now()) : 0;
+                int used = tells ? meter.reading(a.request.customer, queue.now()) : 0;
                 queue.scheduleAfter(way, () -> a.gateway.ended(a, outcome, used));
             }
         });
