--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -103,10 +103,10 @@
 
     private void lose(int gateway, double lengthMs) {
         fleet.gateways[gateway].die();
-        queue.scheduleAfter(Front.NOTICES_MS, () -> fleet.front.sees(gateway));
+        queue.scheduleAfter(SimulatedLoadBalancer.FAILURE_DETECTION_MS, () -> fleet.front.checkHealth(gateway));
         queue.scheduleAfter(lengthMs, () -> {
             fleet.startGateway(gateway);
-            fleet.front.sees(gateway);
+            fleet.front.checkHealth(gateway);
         });
     }
 
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -35,7 +35,7 @@
     final CounterStandIn counter; // null: none
     final List<SeatServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
-    final Front front;
+    final SimulatedLoadBalancer front;
     private final SimulatedClients clients;
     private final SimulatedMeter meter;
     private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
@@ -63,7 +63,7 @@
         meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterLateMs);
         clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
-        front = new Front(this);
+        front = new SimulatedLoadBalancer(this);
         for (int i = 0; i < options.classes; i++) {
             classes.add(new RequestClass(
                     "c" + i,
