--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -26,15 +26,15 @@
 
 /** The agent of discovery beside a real gateway: the whole list, and watches that wait for what is new. */
 @Sharable
-final class DiscoveryAgent extends SimpleChannelInboundHandler<FullHttpRequest> implements DiscoveryStandIn.Listener {
-    private static final long MOST_HOLD_MS = 60_000;
+final class DiscoveryAgent extends SimpleChannelInboundHandler<FullHttpRequest> implements SimulatedDiscovery.Listener {
+    private static final long MAX_HOLD_MS = 60_000;
 
     private record Watch(ChannelHandlerContext ctx) {}
 
     private final Function<String, String> addressOf; // a server
     private final Traffic traffic;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<Long, List<Host>> changes = new LinkedHashMap<>();
+    private final Map<Long, List<Host>> changesByVersion = new LinkedHashMap<>();
     private long version;
     private Watch watch;
 
@@ -44,18 +44,18 @@
     }
 
     @Override
-    public void hosts(HostListKind kind, List<Host> told) {
+    public void hostsUpdated(HostListKind kind, List<Host> newHosts) {
         version++;
-        changes.put(version, told);
-        for (Host h : told) {
-            if (h.state() == HostState.GONE) {
-                hosts.remove(h.id());
+        changesByVersion.put(version, newHosts);
+        for (Host host : newHosts) {
+            if (host.state() == HostState.GONE) {
+                hosts.remove(host.id());
             } else {
-                hosts.put(h.id(), h);
+                hosts.put(host.id(), host);
             }
         }
         if (watch != null) {
-            answerWatch(watch, told);
+            answerWatch(watch, newHosts);
         }
     }
 
@@ -63,72 +63,72 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         traffic.message();
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
-        long from = number(query, "from", -1);
-        if (from < 0 || from > version) {
+        long fromVersion = longParameter(query, "from", -1);
+        if (fromVersion < 0 || fromVersion > version) {
             answer(ctx, true, hosts.values());
-        } else if (from < version) {
-            Map<String, Host> news = new LinkedHashMap<>();
-            for (long v = from + 1; v <= version; v++) {
-                changes.get(v).forEach(h -> news.put(h.id(), h));
+        } else if (fromVersion < version) {
+            Map<String, Host> newHosts = new LinkedHashMap<>();
+            for (long changeVersion = fromVersion + 1; changeVersion <= version; changeVersion++) {
+                changesByVersion.get(changeVersion).forEach(host -> newHosts.put(host.id(), host));
             }
-            answer(ctx, false, news.values());
+            answer(ctx, false, newHosts.values());
         } else {
-            Watch begun = new Watch(ctx);
-            watch = begun;
+            Watch pendingWatch = new Watch(ctx);
+            watch = pendingWatch;
             ctx.executor()
                     .schedule(
-                            () -> answerWatch(begun, List.of()),
-                            Math.min(MOST_HOLD_MS, number(query, "hold_ms", 0)),
+                            () -> answerWatch(pendingWatch, List.of()),
+                            Math.min(MAX_HOLD_MS, longParameter(query, "hold_ms", 0)),
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    private static long number(QueryStringDecoder query, String name, long without) {
+    private static long longParameter(QueryStringDecoder query, String name, long defaultValue) {
         List<String> values = query.parameters().get(name);
-        return values == null ? without : Long.parseLong(values.get(0));
+        return values == null ? defaultValue : Long.parseLong(values.get(0));
     }
 
-    private void answerWatch(Watch begun, List<Host> news) {
-        if (watch == begun) {
+    private void answerWatch(Watch pendingWatch, List<Host> newHosts) {
+        if (watch == pendingWatch) {
             watch = null;
-            answer(begun.ctx, false, news);
+            answer(pendingWatch.ctx, false, newHosts);
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, boolean full, Collection<Host> told) {
+    private void answer(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
         traffic.message();
-        byte[] body = list(full, told).toString().getBytes(StandardCharsets.UTF_8);
+        byte[] body = listAsJson(full, listedHosts).toString().getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         ctx.writeAndFlush(response);
     }
 
-    ObjectNode list(boolean full, Collection<Host> told) {
-        ObjectNode list =
+    ObjectNode listAsJson(boolean full, Collection<Host> listedHosts) {
+        ObjectNode json =
                 JsonNodeFactory.instance.objectNode().put("version", version).put("full", full);
-        ArrayNode servers = list.putArray("servers");
-        for (Host h : told) {
-            String state = switch (h.state()) {
+        ArrayNode servers = json.putArray("servers");
+        for (Host host : listedHosts) {
+            String state = switch (host.state()) {
                 case RUNNING -> "ready";
                 case DRAINING -> "draining";
                 case GONE -> "gone";
             };
             servers.addObject()
-                    .put("id", h.id())
-                    .put("addr", addressOf.apply(h.id()))
-                    .put("zone", h.zone())
-                    .put("kind", h.kind())
-                    .put("cell", h.cell())
+                    .put("id", host.id())
+                    .put("addr", addressOf.apply(host.id()))
+                    .put("zone", host.zone())
+                    .put("kind", host.kind())
+                    .put("cell", host.cell())
                     .put("state", state)
-                    .put("weight", h.rating())
+                    .put("weight", host.rating())
                     .put("started_ms", 0);
         }
-        return list;
+        return json;
     }
 
     /** What a gateway is started with. */
-    ObjectNode known() {
-        return list(true, hosts.values());
+    ObjectNode knownHostsAsJson() {
+        return listAsJson(true, hosts.values());
     }
 }
--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -170,8 +170,8 @@
     private void silence(Fault f, Predicate<FleetGateway> which) {
         for (FleetGateway g : fleet.gateways) {
             if (which.test(g)) {
-                fleet.discovery.silence(g.number, true);
-                queue.scheduleAfter(f.lengthMs(), () -> fleet.discovery.silence(g.number, false));
+                fleet.discovery.setUnreachable(g.number, true);
+                queue.scheduleAfter(f.lengthMs(), () -> fleet.discovery.setUnreachable(g.number, false));
             }
         }
     }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -31,7 +31,7 @@
     final QuotaAccounting quotas;
     final RunStatistics figures;
     final NetworkTopology zones;
-    final DiscoveryStandIn discovery;
+    final SimulatedDiscovery discovery;
     final CounterStandIn counter; // null: none
     final List<SeatServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
@@ -51,7 +51,7 @@
         figures = new RunStatistics(options);
         quotas = new QuotaAccounting(customers, figures.perSecond);
         zones = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
-        discovery = new DiscoveryStandIn(queue, options);
+        discovery = new SimulatedDiscovery(queue, options);
         counter = options.counterRate <= 0
                 ? null
                 : new CounterStandIn(
@@ -77,7 +77,7 @@
                     false));
         }
         for (int i = 0; i < options.servers; i++) {
-            discovery.list(addServer(zones.zoneOf(i), rack(i), 0).listed());
+            discovery.addInitialHost(addServer(zones.zoneOf(i), rack(i), 0).listed());
         }
         for (int g = real; g < real + hollow; g++) {
             int number = g; // none in step with another: their beats would meet at the counter
@@ -250,6 +250,6 @@
     void changed(List<SeatServer> changed) {
         List<Host> hosts = new ArrayList<>();
         changed.forEach(s -> hosts.add(s.listed()));
-        discovery.change(hosts);
+        discovery.publish(hosts);
     }
 }
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -154,7 +154,7 @@
             fleet.discovery.watch(number, agent);
             fleet.queue.runUntil(
                     HollowOptions.START_MS); // the hollow ones start; the clock then waits for the real ones
-            return agent.known();
+            return agent.knownHostsAsJson();
         });
         InetSocketAddress discovery = Listeners.open(group, () -> with(traffic, http(agent)));
         InetSocketAddress counter = Listeners.open(group, () -> new ChannelHandler[] {
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -123,7 +123,7 @@
         put("hosts_newly_used_per_gateway", f.hostsNewlyUsed());
         put("attempts_outside_zone_share", share(f.crossZoneAttempts, f.attempts));
         put("gateways_started", fleet.gatewaysStarted());
-        put("lists_told", fleet.discovery.told());
+        put("lists_told", fleet.discovery.listsDelivered());
     }
 
     private static double share(double part, double whole) {
--- /dev/null
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -0,0 +1,102 @@
+package deckfall.scale;
+
+import deckfall.Gateway.Host;
+import deckfall.Gateway.HostListKind;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Stands in for discovery and the agents beside the gateways: the whole list at first, then changes, each told with
+ * a delay of its own to each gateway and in order. What changes while it can't be reached is told at its return.
+ */
+final class SimulatedDiscovery {
+    /** What a gateway hears. */
+    interface Listener {
+        void hostsUpdated(HostListKind kind, List<Host> hosts);
+    }
+
+    private static final class Agent {
+        Listener listener;
+        double nextDeliveryMs;
+        int deliveredVersion; // version
+    }
+
+    private final EventQueue queue;
+    private final HollowOptions options;
+    private final Map<String, Host> hosts = new LinkedHashMap<>();
+    private final List<List<Host>> changes = new ArrayList<>(); // by version
+    private final Agent[] agents;
+    private final boolean[] unreachable;
+    private long listsDelivered;
+
+    SimulatedDiscovery(EventQueue queue, HollowOptions options) {
+        this.queue = queue;
+        this.options = options;
+        agents = new Agent[options.gateways];
+        unreachable = new boolean[options.gateways];
+    }
+
+    /** Before anything is told. */
+    void addInitialHost(Host host) {
+        hosts.put(host.id(), host);
+    }
+
+    /** A gateway starts: it has the whole list at once, from its agent or, where that is silent, as it was started. */
+    void watch(int gateway, Listener listener) {
+        Agent agent = new Agent();
+        agent.listener = listener;
+        agent.deliveredVersion = changes.size();
+        agents[gateway] = agent;
+        HostListKind kind = unreachable[gateway] ? HostListKind.CACHED : HostListKind.FULL;
+        List<Host> allHosts = List.copyOf(hosts.values());
+        queue.scheduleAfter(0, () -> listener.hostsUpdated(kind, allHosts));
+    }
+
+    void publish(List<Host> changedHosts) {
+        for (Host host : changedHosts) {
+            hosts.put(host.id(), host);
+            if (host.state() == deckfall.Gateway.HostState.GONE) {
+                hosts.remove(host.id());
+            }
+        }
+        changes.add(List.copyOf(changedHosts));
+        for (int gateway = 0; gateway < agents.length; gateway++) {
+            scheduleDelivery(gateway);
+        }
+    }
+
+    private void scheduleDelivery(int gateway) {
+        Agent agent = agents[gateway];
+        if (agent == null || unreachable[gateway]) {
+            return;
+        }
+        double delayMs =
+                HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.discoveryMs;
+        agent.nextDeliveryMs = Math.max(agent.nextDeliveryMs, queue.now() + delayMs);
+        queue.scheduleAt(agent.nextDeliveryMs, () -> deliver(gateway, agent));
+    }
+
+    private void deliver(int gateway, Agent agent) {
+        if (agent != agents[gateway] || unreachable[gateway] || agent.deliveredVersion == changes.size()) {
+            return;
+        }
+        List<Host> newHosts = new ArrayList<>();
+        changes.subList(agent.deliveredVersion, changes.size()).forEach(newHosts::addAll);
+        agent.deliveredVersion = changes.size();
+        listsDelivered++;
+        agent.listener.hostsUpdated(HostListKind.CHANGES, newHosts);
+    }
+
+    void setUnreachable(int gateway, boolean unreachableNow) {
+        unreachable[gateway] = unreachableNow;
+        if (!unreachableNow) {
+            scheduleDelivery(gateway);
+        }
+    }
+
+    long listsDelivered() {
+        return listsDelivered;
+    }
+}
