--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -34,9 +34,9 @@
             case RACK -> lose(f, s -> s.cell < f.count());
             case ZONE -> loseZone(f);
             case REGION_CUT -> cut(f);
-            case COUNTER_SILENT -> counter(f, CounterStandIn.Mode.SILENT, false);
-            case COUNTER_REFUSING -> counter(f, CounterStandIn.Mode.REFUSING, false);
-            case COUNTER_EMPTY -> counter(f, CounterStandIn.Mode.SILENT, true);
+            case COUNTER_SILENT -> counter(f, SimulatedCounter.Mode.SILENT, false);
+            case COUNTER_REFUSING -> counter(f, SimulatedCounter.Mode.REFUSING, false);
+            case COUNTER_EMPTY -> counter(f, SimulatedCounter.Mode.SILENT, true);
             case COUNTER_SLOW -> slowCounter(f);
             case DISCOVERY_DOWN -> silence(f, g -> true);
         }
@@ -151,10 +151,10 @@
             }
         }
         if (zone == Fleet.SERVICES_ZONE) {
-            setCounter(CounterStandIn.Mode.SILENT);
+            setCounter(SimulatedCounter.Mode.SILENT);
             queue.scheduleAfter(MOVED_MS, () -> {
                 empty();
-                setCounter(CounterStandIn.Mode.SERVING);
+                setCounter(SimulatedCounter.Mode.SERVING);
             });
         }
     }
@@ -178,32 +178,32 @@
 
     // ---- the counter
 
-    private void setCounter(CounterStandIn.Mode mode) {
+    private void setCounter(SimulatedCounter.Mode mode) {
         if (fleet.counter != null) {
-            fleet.counter.set(mode);
+            fleet.counter.setMode(mode);
         }
     }
 
     private void empty() {
         if (fleet.counter != null) {
-            fleet.counter.empty();
+            fleet.counter.clear();
         }
     }
 
-    private void counter(Fault f, CounterStandIn.Mode mode, boolean empties) {
+    private void counter(Fault f, SimulatedCounter.Mode mode, boolean empties) {
         setCounter(mode);
         queue.scheduleAfter(f.lengthMs(), () -> {
             if (empties) {
                 empty();
             }
-            setCounter(CounterStandIn.Mode.SERVING);
+            setCounter(SimulatedCounter.Mode.SERVING);
         });
     }
 
     private void slowCounter(Fault f) {
         if (fleet.counter != null) {
-            fleet.counter.slow(Math.max(1, f.size()));
-            queue.scheduleAfter(f.lengthMs(), () -> fleet.counter.slow(1));
+            fleet.counter.setSlowdownFactor(Math.max(1, f.size()));
+            queue.scheduleAfter(f.lengthMs(), () -> fleet.counter.setSlowdownFactor(1));
         }
     }
 }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -32,7 +32,7 @@
     final RunStatistics figures;
     final NetworkTopology zones;
     final SimulatedDiscovery discovery;
-    final CounterStandIn counter; // null: none
+    final SimulatedCounter counter; // null: none
     final List<SeatServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
     final SimulatedLoadBalancer front;
@@ -54,7 +54,7 @@
         discovery = new SimulatedDiscovery(queue, options);
         counter = options.counterRate <= 0
                 ? null
-                : new CounterStandIn(
+                : new SimulatedCounter(
                         queue,
                         options.counterRate,
                         options.counterParts,
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -158,7 +158,9 @@
         });
         InetSocketAddress discovery = Listeners.open(group, () -> with(traffic, http(agent)));
         InetSocketAddress counter = Listeners.open(group, () -> new ChannelHandler[] {
-            traffic, new LineBasedFrameDecoder(LONGEST_LINE), new CounterListener(fleet, pace, gateway, traffic)
+            traffic,
+            new LineBasedFrameDecoder(LONGEST_LINE),
+            new CounterConnectionHandler(fleet, pace, gateway, traffic)
         });
         Path own = Files.createDirectory(folder.resolve("n" + number));
         Files.writeString(
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -110,10 +110,10 @@
         put("calls_busy", f.callOutcomes.getOrDefault(Outcome.FULL, 0L));
         put("calls_timeout", f.callOutcomes.getOrDefault(Outcome.TIMEOUT, 0L));
         put("calls_refused", f.callOutcomes.getOrDefault(Outcome.CONNECT_FAILED, 0L));
-        CounterStandIn counter = fleet.counter;
+        SimulatedCounter counter = fleet.counter;
         put("counter_served_all", counter == null ? 0 : counter.served());
-        put("counter_served_in_second_max", counter == null ? 0 : counter.mostServedInSecond());
-        put("counter_names_at_end", counter == null ? 0 : counter.names());
+        put("counter_served_in_second_max", counter == null ? 0 : counter.maxServedInSecond());
+        put("counter_names_at_end", counter == null ? 0 : counter.entryCount());
     }
 
     private void hosts() {
