--- a/src/main/java/deckfall/scale/CounterConnectionHandler.java
+++ b/src/main/java/deckfall/scale/CounterConnectionHandler.java
@@ -20,7 +20,7 @@
     }
 
     private final Fleet fleet;
-    private final Pace pacer;
+    private final RealTimePacer pacer;
     private final FleetGateway gateway;
     private final Traffic traffic;
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
@@ -28,7 +28,7 @@
     private int remainingLines; // lines of the call under way
     private boolean wordExpected;
 
-    CounterConnectionHandler(Fleet fleet, Pace pacer, FleetGateway gateway, Traffic traffic) {
+    CounterConnectionHandler(Fleet fleet, RealTimePacer pacer, FleetGateway gateway, Traffic traffic) {
         this.fleet = fleet;
         this.pacer = pacer;
         this.gateway = gateway;
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -35,7 +35,7 @@
     }
 
     private final Fleet fleet;
-    private final Pace pace;
+    private final RealTimePacer pace;
     private final Settings settings;
     private final PairedLatencies times;
     private final HttpPool clients;
@@ -46,7 +46,7 @@
 
     RealGateway(
             Fleet fleet,
-            Pace pace,
+            RealTimePacer pace,
             Settings settings,
             int zone,
             PairedLatencies times,
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -68,7 +68,7 @@
     private final List<RealGateway> gateways = new ArrayList<>();
     private Path folder;
     private Fleet fleet;
-    private Pace pace;
+    private RealTimePacer pace;
 
     RealRun(RealOptions options, PrintStream progress) {
         this.options = options;
@@ -93,7 +93,7 @@
         folder = Files.createTempDirectory("deckfall-scale");
         try {
             fleet = onLoop(() -> new Fleet(options, options.processes, options.hollow()));
-            pace = new Pace(group.next(), fleet.queue);
+            pace = new RealTimePacer(group.next(), fleet.queue);
             for (SeatServer s : List.copyOf(fleet.servers)) {
                 SeatListener listener = new SeatListener(s, this::came);
                 addresses.put(s.id, Listeners.open(group, () -> http(listener)));
@@ -300,11 +300,11 @@
             return null;
         });
         awaitClock(options.warmUpMs());
-        onLoop(pace::takeWorstLateMs);
+        onLoop(pace::takeMaxLagMs);
         List<Sample> from = samples();
         awaitClock(options.endMs());
         List<Sample> to = samples();
-        double late = onLoop(pace::takeWorstLateMs);
+        double late = onLoop(pace::takeMaxLagMs);
         awaitClock(options.endMs() + options.deadlineMs + DRAIN_MS);
         told("idle", before, idle, options.idleSeconds);
         told("loaded", from, to, options.seconds);
--- a/src/main/java/deckfall/scale/Pace.java
+++ b/src/main/java/deckfall/scale/RealTimePacer.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** Lets the one clock follow the real one, on the thread of the sockets, so that stand-ins serve both alike. */
-final class Pace {
-    private static final long BEAT_MS = 1;
+final class RealTimePacer {
+    private static final long TICK_MS = 1;
 
     private final EventLoop loop;
     private final EventQueue queue;
     private boolean running;
-    private long fromNanos;
-    private double fromMs;
-    private double worstLateMs;
+    private long startNanos;
+    private double startMs;
+    private double maxLagMs;
     private volatile double nowMs;
 
-    Pace(EventLoop loop, EventQueue queue) {
+    RealTimePacer(EventLoop loop, EventQueue queue) {
         this.loop = loop;
         this.queue = queue;
     }
@@ -23,9 +23,9 @@
     /** From here on; called on the thread of the sockets, as all but {@link #now()}. */
     void start() {
         running = true;
-        fromMs = queue.now();
-        fromNanos = System.nanoTime();
-        loop.scheduleAtFixedRate(this::catchUp, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        startMs = queue.now();
+        startNanos = System.nanoTime();
+        loop.scheduleAtFixedRate(this::catchUp, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Runs what is due, before anything that came over a socket is taken up. */
@@ -33,10 +33,10 @@
         if (!running) {
             return;
         }
-        double due = fromMs + (System.nanoTime() - fromNanos) / 1e6;
-        worstLateMs = Math.max(worstLateMs, due - queue.now());
-        queue.runUntil(due);
-        nowMs = due;
+        double dueMs = startMs + (System.nanoTime() - startNanos) / 1e6;
+        maxLagMs = Math.max(maxLagMs, dueMs - queue.now());
+        queue.runUntil(dueMs);
+        nowMs = dueMs;
     }
 
     double now() {
@@ -44,9 +44,9 @@
     }
 
     /** How late the clock was at worst since this was last asked. */
-    double takeWorstLateMs() {
-        double worst = worstLateMs;
-        worstLateMs = 0;
-        return worst;
+    double takeMaxLagMs() {
+        double takenMaxLagMs = maxLagMs;
+        maxLagMs = 0;
+        return takenMaxLagMs;
     }
 }
