--- a/src/main/java/deckfall/scale/Traffic.java
+++ b/src/main/java/deckfall/scale/ControlTraffic.java
@@ -8,7 +8,7 @@
 
 /** Counts the bytes and messages of one gateway's control connections, both ways. */
 @Sharable
-final class Traffic extends ChannelDuplexHandler {
+final class ControlTraffic extends ChannelDuplexHandler {
     private long bytes;
     private long messages;
 
@@ -24,7 +24,7 @@
         ctx.write(message, promise);
     }
 
-    void message() {
+    void countMessage() {
         messages++;
     }
 
--- a/src/main/java/deckfall/scale/CounterConnectionHandler.java
+++ b/src/main/java/deckfall/scale/CounterConnectionHandler.java
@@ -22,13 +22,13 @@
     private final Fleet fleet;
     private final RealTimePacer pacer;
     private final FleetGateway gateway;
-    private final Traffic traffic;
+    private final ControlTraffic traffic;
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
     private final List<String> words = new ArrayList<>();
     private int remainingLines; // lines of the call under way
     private boolean wordExpected;
 
-    CounterConnectionHandler(Fleet fleet, RealTimePacer pacer, FleetGateway gateway, Traffic traffic) {
+    CounterConnectionHandler(Fleet fleet, RealTimePacer pacer, FleetGateway gateway, ControlTraffic traffic) {
         this.fleet = fleet;
         this.pacer = pacer;
         this.gateway = gateway;
@@ -56,7 +56,7 @@
     }
 
     private void handleCall(ChannelHandlerContext ctx) {
-        traffic.message();
+        traffic.countMessage();
         PendingReply pendingReply = new PendingReply();
         pendingReplies.add(pendingReply);
         if (words.size() != ADDGET_WORDS || !words.get(0).equals("ADDGET")) {
@@ -80,7 +80,7 @@
     private void reply(ChannelHandlerContext ctx, PendingReply pendingReply, String text) {
         pendingReply.text = text;
         while (!pendingReplies.isEmpty() && pendingReplies.peek().text != null) {
-            traffic.message();
+            traffic.countMessage();
             ctx.write(ByteBufUtil.writeAscii(ctx.alloc(), pendingReplies.poll().text));
         }
         ctx.flush();
--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -32,13 +32,13 @@
     private record Watch(ChannelHandlerContext ctx) {}
 
     private final Function<String, String> addressOf; // a server
-    private final Traffic traffic;
+    private final ControlTraffic traffic;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Long, List<Host>> changesByVersion = new LinkedHashMap<>();
     private long version;
     private Watch watch;
 
-    DiscoveryAgent(Function<String, String> addressOf, Traffic traffic) {
+    DiscoveryAgent(Function<String, String> addressOf, ControlTraffic traffic) {
         this.addressOf = addressOf;
         this.traffic = traffic;
     }
@@ -61,7 +61,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        traffic.message();
+        traffic.countMessage();
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         long fromVersion = longParameter(query, "from", -1);
         if (fromVersion < 0 || fromVersion > version) {
@@ -96,7 +96,7 @@
     }
 
     private void answer(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
-        traffic.message();
+        traffic.countMessage();
         byte[] body = listAsJson(full, listedHosts).toString().getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
--- a/src/main/java/deckfall/scale/GatewayProcess.java
+++ b/src/main/java/deckfall/scale/GatewayProcess.java
@@ -11,32 +11,32 @@
 
 /** One real gateway's process, started as the platform does; it ends with the run in any case. */
 final class GatewayProcess {
-    private static final long END_SECONDS = 5; // after SIGTERM; then it is killed
-    private static final String RESIDENT = "VmRSS:";
+    private static final long STOP_TIMEOUT_SECONDS = 5; // after SIGTERM; then it is killed
+    private static final String RESIDENT_MEMORY_KEY = "VmRSS:";
 
     private final Process process;
-    private final Thread atExit = new Thread(this::kill);
+    private final Thread shutdownHook = new Thread(this::kill);
 
-    GatewayProcess(String run, Path root, Path folder, String name, String listen, String discovery)
+    GatewayProcess(String command, Path workingDirectory, Path folder, String name, String listen, String discovery)
             throws IOException {
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", run)
-                .directory(root.toFile())
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command)
+                .directory(workingDirectory.toFile())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(folder.resolve("log").toFile());
-        b.environment().put("NODE_NAME", name);
-        b.environment().put("NODE_LISTEN", listen);
-        b.environment().put("NODE_DISCOVERY", discovery);
-        b.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
-        b.environment().put("TMPDIR", folder.toString());
-        process = b.start();
-        Runtime.getRuntime().addShutdownHook(atExit);
+        builder.environment().put("NODE_NAME", name);
+        builder.environment().put("NODE_LISTEN", listen);
+        builder.environment().put("NODE_DISCOVERY", discovery);
+        builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
+        builder.environment().put("TMPDIR", folder.toString());
+        process = builder.start();
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     boolean alive() {
         return process.isAlive();
     }
 
-    double processorSeconds() {
+    double cpuSeconds() {
         return process.toHandle()
                         .info()
                         .totalCpuDuration()
@@ -48,8 +48,8 @@
     double residentMegabytes() {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
-                if (line.startsWith(RESIDENT)) {
-                    return Double.parseDouble(line.substring(RESIDENT.length())
+                if (line.startsWith(RESIDENT_MEMORY_KEY)) {
+                    return Double.parseDouble(line.substring(RESIDENT_MEMORY_KEY.length())
                                     .replace("kB", "")
                                     .trim())
                             / 1024;
@@ -66,28 +66,28 @@
     }
 
     /** Whether it has ended in order, that is by itself after SIGTERM. */
-    boolean awaitEnd() {
-        boolean inOrder = false;
+    boolean awaitExit() {
+        boolean exitedCleanly = false;
         try {
-            inOrder = process.waitFor(END_SECONDS, TimeUnit.SECONDS);
-            List<ProcessHandle> started = process.descendants().toList();
+            exitedCleanly = process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            List<ProcessHandle> descendants = process.descendants().toList();
             kill();
-            for (ProcessHandle p : started) {
-                p.onExit().get(END_SECONDS, TimeUnit.SECONDS);
+            for (ProcessHandle descendant : descendants) {
+                descendant.onExit().get(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
-            process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            inOrder = false;
+            exitedCleanly = false;
         }
         kill();
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // the run itself is ending
         }
-        return inOrder;
+        return exitedCleanly;
     }
 
     private void kill() {
--- a/src/main/java/deckfall/scale/HttpPool.java
+++ b/src/main/java/deckfall/scale/HttpConnectionPool.java
@@ -18,26 +18,26 @@
 import java.util.function.Consumer;
 
 /** A client's connections to one address: one request at a time on each, and more where all are busy. */
-final class HttpPool {
-    private static final int MOST_BODY = 1 << 20;
+final class HttpConnectionPool {
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private final EventLoopGroup group;
     private final InetSocketAddress address;
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-    HttpPool(EventLoopGroup group, InetSocketAddress address) {
+    HttpConnectionPool(EventLoopGroup group, InetSocketAddress address) {
         this.group = group;
         this.address = address;
     }
 
     /** Tells the answer, which is released afterwards, or null where none came. */
-    void send(FullHttpRequest request, Consumer<FullHttpResponse> end) {
-        Connection free = idle.pollLast();
-        if (free != null) {
-            free.send(request, end);
+    void send(FullHttpRequest request, Consumer<FullHttpResponse> onResponse) {
+        Connection idleConnection = idle.pollLast();
+        if (idleConnection != null) {
+            idleConnection.send(request, onResponse);
             return;
         }
-        Connection fresh = new Connection();
+        Connection newConnection = new Connection();
         new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -45,46 +45,48 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        fresh.channel = ch;
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), fresh);
+                        newConnection.channel = ch;
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), newConnection);
                     }
                 })
                 .connect(address)
-                .addListener(f -> {
-                    if (f.isSuccess()) {
-                        fresh.send(request, end);
+                .addListener(future -> {
+                    if (future.isSuccess()) {
+                        newConnection.send(request, onResponse);
                     } else {
                         request.release();
-                        end.accept(null);
+                        onResponse.accept(null);
                     }
                 });
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Consumer<FullHttpResponse> waiting;
+        private Consumer<FullHttpResponse> pendingCallback;
 
-        void send(FullHttpRequest request, Consumer<FullHttpResponse> end) {
-            waiting = end;
+        void send(FullHttpRequest request, Consumer<FullHttpResponse> onResponse) {
+            pendingCallback = onResponse;
             channel.writeAndFlush(request, channel.voidPromise());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Consumer<FullHttpResponse> end = waiting;
-            waiting = null;
+            Consumer<FullHttpResponse> callback = pendingCallback;
+            pendingCallback = null;
             idle.addLast(this);
-            if (end != null) {
-                end.accept(response);
+            if (callback != null) {
+                callback.accept(response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.remove(this);
-            if (waiting != null) {
-                waiting.accept(null);
-                waiting = null;
+            if (pendingCallback != null) {
+                pendingCallback.accept(null);
+                pendingCallback = null;
             }
         }
 
--- a/src/main/java/deckfall/scale/Listeners.java
+++ b/src/main/java/deckfall/scale/LoopbackListeners.java
@@ -13,17 +13,17 @@
 import java.util.function.Supplier;
 
 /** Opens the stand-ins' listeners, on loopback and on ports that the system chooses. */
-final class Listeners {
-    private static final int WAITING = 256; // connections not taken up yet
+final class LoopbackListeners {
+    private static final int ACCEPT_BACKLOG = 256; // connections not taken up yet
 
-    private Listeners() {}
+    private LoopbackListeners() {}
 
     /** The address; called from outside the thread of the sockets. */
     static InetSocketAddress open(EventLoopGroup group, Supplier<ChannelHandler[]> handlers) {
         Channel listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, WAITING)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -37,7 +37,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    static String text(InetSocketAddress address) {
+    static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
 }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -38,8 +38,8 @@
     private final RealTimePacer pace;
     private final Settings settings;
     private final PairedLatencies times;
-    private final HttpPool clients;
-    private final HttpPool direct;
+    private final HttpConnectionPool clients;
+    private final HttpConnectionPool direct;
     private final Map<String, ClientRequest> open = new LinkedHashMap<>();
     private final Map<String, ClientRequest> directs = new HashMap<>();
     private final Map<ClientRequest.Attempt, ChannelHandlerContext> exchanges = new HashMap<>();
@@ -50,8 +50,8 @@
             Settings settings,
             int zone,
             PairedLatencies times,
-            HttpPool clients,
-            HttpPool direct) {
+            HttpConnectionPool clients,
+            HttpConnectionPool direct) {
         super(settings.gatewayNumber(), zone);
         this.fleet = fleet;
         this.pace = pace;
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -53,7 +53,7 @@
     private static final int OK = 200;
 
     /** What a real gateway is measured by. */
-    private record Member(RealGateway gateway, GatewayProcess process, Traffic traffic) {}
+    private record Member(RealGateway gateway, GatewayProcess process, ControlTraffic traffic) {}
 
     /** One member at one moment. */
     private record Sample(double processorSeconds, double residentMegabytes, long bytes, long messages) {}
@@ -96,7 +96,7 @@
             pace = new RealTimePacer(group.next(), fleet.queue);
             for (SeatServer s : List.copyOf(fleet.servers)) {
                 SeatListener listener = new SeatListener(s, this::came);
-                addresses.put(s.id, Listeners.open(group, () -> http(listener)));
+                addresses.put(s.id, LoopbackListeners.open(group, () -> http(listener)));
             }
             for (int g = 0; g < options.processes; g++) {
                 start(g);
@@ -133,7 +133,7 @@
     // ---- processes
 
     private void start(int number) throws IOException, InterruptedException, ExecutionException {
-        Traffic traffic = new Traffic();
+        ControlTraffic traffic = new ControlTraffic();
         int zone = fleet.zones.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
@@ -145,9 +145,9 @@
                 settings,
                 zone,
                 times,
-                new HttpPool(group, listen),
-                new HttpPool(group, Listeners.open(group, () -> http(direct))));
-        DiscoveryAgent agent = new DiscoveryAgent(id -> Listeners.text(addresses.get(id)), traffic);
+                new HttpConnectionPool(group, listen),
+                new HttpConnectionPool(group, LoopbackListeners.open(group, () -> http(direct))));
+        DiscoveryAgent agent = new DiscoveryAgent(id -> LoopbackListeners.hostAndPort(addresses.get(id)), traffic);
         JsonNode known = onLoop(() -> {
             fleet.gateways[number] = gateway;
             gateways.add(gateway);
@@ -156,8 +156,8 @@
                     HollowOptions.START_MS); // the hollow ones start; the clock then waits for the real ones
             return agent.knownHostsAsJson();
         });
-        InetSocketAddress discovery = Listeners.open(group, () -> with(traffic, http(agent)));
-        InetSocketAddress counter = Listeners.open(group, () -> new ChannelHandler[] {
+        InetSocketAddress discovery = LoopbackListeners.open(group, () -> with(traffic, http(agent)));
+        InetSocketAddress counter = LoopbackListeners.open(group, () -> new ChannelHandler[] {
             traffic,
             new LineBasedFrameDecoder(LONGEST_LINE),
             new CounterConnectionHandler(fleet, pace, gateway, traffic)
@@ -173,8 +173,8 @@
                         options.root(),
                         own,
                         "n" + number,
-                        Listeners.text(listen),
-                        Listeners.text(discovery)),
+                        LoopbackListeners.hostAndPort(listen),
+                        LoopbackListeners.hostAndPort(discovery)),
                 traffic));
     }
 
@@ -197,10 +197,10 @@
         ObjectNode root = new ObjectMapper()
                 .createObjectNode()
                 .put("name", "n" + s.gatewayNumber())
-                .put("listen", Listeners.text(listen))
-                .put("discovery", Listeners.text(discovery))
+                .put("listen", LoopbackListeners.hostAndPort(listen))
+                .put("discovery", LoopbackListeners.hostAndPort(discovery))
                 .put("seed", Long.toHexString(s.seed()))
-                .put("counter", Listeners.text(counter));
+                .put("counter", LoopbackListeners.hostAndPort(counter));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
         root.set("known", known);
         ObjectNode settings = root.putObject("settings")
@@ -325,10 +325,7 @@
         List<Sample> all = new ArrayList<>();
         for (Member m : members) {
             all.add(onLoop(() -> new Sample(
-                    m.process.processorSeconds(),
-                    m.process.residentMegabytes(),
-                    m.traffic.bytes(),
-                    m.traffic.messages())));
+                    m.process.cpuSeconds(), m.process.residentMegabytes(), m.traffic.bytes(), m.traffic.messages())));
         }
         return all;
     }
@@ -373,7 +370,7 @@
 
     private void end() throws IOException {
         members.forEach(m -> m.process.stop());
-        long inOrder = members.stream().filter(m -> m.process.awaitEnd()).count();
+        long inOrder = members.stream().filter(m -> m.process.awaitExit()).count();
         costs.put("real_ended_in_order", inOrder);
         costs.put(
                 "real_left_running",
