--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -53,19 +53,19 @@
         fleet.figures.serversChanged();
         int count = Math.min(f.count(), fleet.options.servers);
         for (int i = 0; i < count; i++) {
-            SeatServer old = fleet.servers.get(chosen(i, count, fleet.options.servers));
+            SimulatedServer old = fleet.servers.get(chosen(i, count, fleet.options.servers));
             queue.scheduleAfter(f.lengthMs() * i / count, () -> replace(old));
         }
     }
 
-    private void replace(SeatServer old) {
-        if (old.state() != SeatServer.State.SERVING) {
+    private void replace(SimulatedServer old) {
+        if (old.state() != SimulatedServer.State.SERVING) {
             return;
         }
         old.drain();
         fleet.changed(List.of(old, fleet.addServer(old.zone, old.cell, queue.now())));
         queue.scheduleAfter(DRAIN_MS, () -> {
-            old.die();
+            old.terminate();
             fleet.changed(List.of(old));
         });
     }
@@ -73,21 +73,21 @@
     private void hang(Fault f) {
         int count = Math.min(f.count(), fleet.options.servers);
         for (int i = 0; i < count; i++) {
-            SeatServer s = fleet.servers.get(chosen(i, count, fleet.options.servers));
-            s.hang(true);
-            queue.scheduleAfter(f.lengthMs(), () -> s.hang(false));
+            SimulatedServer s = fleet.servers.get(chosen(i, count, fleet.options.servers));
+            s.setHanging(true);
+            queue.scheduleAfter(f.lengthMs(), () -> s.setHanging(false));
         }
     }
 
     /** Their machines say nothing any more, and are back with a cold start. */
-    private void lose(Fault f, Predicate<SeatServer> which) {
+    private void lose(Fault f, Predicate<SimulatedServer> which) {
         fleet.figures.serversChanged();
-        List<SeatServer> lost = new ArrayList<>(fleet.servers);
-        lost.removeIf(s -> !which.test(s) || s.state() != SeatServer.State.SERVING);
-        lost.forEach(SeatServer::vanish);
+        List<SimulatedServer> lost = new ArrayList<>(fleet.servers);
+        lost.removeIf(s -> !which.test(s) || s.state() != SimulatedServer.State.SERVING);
+        lost.forEach(SimulatedServer::becomeUnreachable);
         queue.scheduleAfter(NOTICED_MS, () -> fleet.changed(lost));
         queue.scheduleAfter(Math.max(NOTICED_MS, f.lengthMs()), () -> {
-            lost.forEach(SeatServer::restart);
+            lost.forEach(SimulatedServer::restart);
             fleet.changed(lost);
         });
     }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -33,12 +33,12 @@
     final NetworkTopology zones;
     final SimulatedDiscovery discovery;
     final SimulatedCounter counter; // null: none
-    final List<SeatServer> servers = new ArrayList<>();
+    final List<SimulatedServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
     final SimulatedLoadBalancer front;
     private final SimulatedClients clients;
     private final SimulatedMeter meter;
-    private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
+    private final Map<String, SimulatedServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
     private AdmissionPolicy admission = AdmissionPolicy.DECIDED_BY_GATEWAYS;
     private int gatewaysStarted;
@@ -77,7 +77,7 @@
                     false));
         }
         for (int i = 0; i < options.servers; i++) {
-            discovery.addInitialHost(addServer(zones.zoneOf(i), rack(i), 0).listed());
+            discovery.addInitialHost(addServer(zones.zoneOf(i), rack(i), 0).toHost());
         }
         for (int g = real; g < real + hollow; g++) {
             int number = g; // none in step with another: their beats would meet at the counter
@@ -90,8 +90,8 @@
         return server / (options.zones * RACK) * options.zones + zones.zoneOf(server);
     }
 
-    SeatServer addServer(int zone, int cell, double startedMs) {
-        SeatServer s = new SeatServer(queue, options, servers.size(), zone, cell, startedMs);
+    SimulatedServer addServer(int zone, int cell, double startedMs) {
+        SimulatedServer s = new SimulatedServer(queue, options, servers.size(), zone, cell, startedMs);
         servers.add(s);
         serversById.put(s.id, s);
         return s;
@@ -184,11 +184,11 @@
 
     void attempt(ClientRequest.Attempt a) {
         FleetGateway from = a.gateway;
-        SeatServer to = serversById.get(a.host);
+        SimulatedServer to = serversById.get(a.host);
         double now = queue.now();
         figures.attemptSent(from.number, to, to.zone != from.zone, now);
         double way = zones.latencyMs(from.zone, to.zone);
-        if (!zones.canReach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
+        if (!zones.canReach(from.zone, to.zone) || to.state() == SimulatedServer.State.UNREACHABLE) {
             queue.scheduleAfter(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
         } else {
             queue.scheduleAfter(way, () -> reach(a, to, way));
@@ -196,11 +196,11 @@
     }
 
     /** An attempt comes whole to a server. */
-    void reach(ClientRequest.Attempt a, SeatServer to, double way) {
-        if (to.state() == SeatServer.State.VANISHED) {
+    void reach(ClientRequest.Attempt a, SimulatedServer to, double way) {
+        if (to.state() == SimulatedServer.State.UNREACHABLE) {
             return; // nothing comes back
         }
-        if (to.state() == SeatServer.State.DEAD) {
+        if (to.state() == SimulatedServer.State.TERMINATED) {
             queue.scheduleAfter(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
             return;
         }
@@ -209,7 +209,7 @@
             quotas.requestReachedServer(a.request, queue.now());
             meter.recordUse(a.request.customer, a.request.units, queue.now());
         }
-        to.take(a, outcome -> {
+        to.accept(a, outcome -> {
             if (zones.canReach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
                 int used = tells ? meter.reading(a.request.customer, queue.now()) : 0;
@@ -247,9 +247,9 @@
     }
 
     /** What discovery now tells of the servers. */
-    void changed(List<SeatServer> changed) {
+    void changed(List<SimulatedServer> changed) {
         List<Host> hosts = new ArrayList<>();
-        changed.forEach(s -> hosts.add(s.listed()));
+        changed.forEach(s -> hosts.add(s.toHost()));
         discovery.publish(hosts);
     }
 }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -20,7 +20,7 @@
  * A real process in the fleet: clients' requests go to it over sockets, and what it sends on comes to the stand-ins'
  * addresses. Each request is paired with one that goes to a seat server directly and takes as long there.
  */
-final class RealGateway extends FleetGateway implements SeatListener.Requests {
+final class RealGateway extends FleetGateway implements SimulatedServerHandler.RequestReceiver {
     private static final double GRACE_MS = 500; // after a deadline, until a request counts as unanswered
     private static final byte[] BODY = "a body".getBytes(StandardCharsets.US_ASCII);
     private static final int REFUSED = 429;
@@ -114,7 +114,7 @@
                 Unpooled.wrappedBuffer(body));
         r.headers()
                 .set(HttpHeaderNames.HOST, "backend.local")
-                .set(SeatListener.TRACE, id)
+                .set(SimulatedServerHandler.TRACE_ID_HEADER, id)
                 .set("X-Plan", customers.plan(t.customer).name())
                 .set("X-Customer", String.format("%016x", customers.gatewayId(t.customer)))
                 .set("X-Expires-In-Ms", (long) fleet.options.deadlineMs)
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void came(String id, SeatServer server, ChannelHandlerContext from) {
+    public void requestReceived(String id, SimulatedServer server, ChannelHandlerContext from) {
         ClientRequest twin = directs.get(id);
         if (twin != null) {
             ClientRequest alone = new ClientRequest(
@@ -167,9 +167,9 @@
                     twin.arrivedMs,
                     twin.deadlineMs,
                     false);
-            server.take(
+            server.accept(
                     new ClientRequest.Attempt(this, alone, server.id, fleet.queue.now()),
-                    outcome -> SeatListener.answer(from, outcome, 0));
+                    outcome -> SimulatedServerHandler.respond(from, outcome, 0));
             return;
         }
         ClientRequest t = open.get(id);
@@ -186,7 +186,7 @@
         a.ended = true;
         ChannelHandlerContext to = exchanges.remove(a);
         if (to != null) {
-            SeatListener.answer(to, outcome, usedPct);
+            SimulatedServerHandler.respond(to, outcome, usedPct);
         }
     }
 }
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -94,8 +94,8 @@
         try {
             fleet = onLoop(() -> new Fleet(options, options.processes, options.hollow()));
             pace = new RealTimePacer(group.next(), fleet.queue);
-            for (SeatServer s : List.copyOf(fleet.servers)) {
-                SeatListener listener = new SeatListener(s, this::came);
+            for (SimulatedServer s : List.copyOf(fleet.servers)) {
+                SimulatedServerHandler listener = new SimulatedServerHandler(s, this::came);
                 addresses.put(s.id, LoopbackListeners.open(group, () -> http(listener)));
             }
             for (int g = 0; g < options.processes; g++) {
@@ -119,15 +119,15 @@
         return all.toArray(new ChannelHandler[0]);
     }
 
-    private void came(String id, SeatServer server, ChannelHandlerContext from) {
+    private void came(String id, SimulatedServer server, ChannelHandlerContext from) {
         pace.catchUp();
         for (RealGateway g : gateways) {
             if (g.knows(id)) {
-                g.came(id, server, from);
+                g.requestReceived(id, server, from);
                 return;
             }
         }
-        SeatListener.answer(from, Outcome.MOOT, 0);
+        SimulatedServerHandler.respond(from, Outcome.MOOT, 0);
     }
 
     // ---- processes
@@ -137,8 +137,8 @@
         int zone = fleet.zones.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
-        SeatServer aside = onLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
-        SeatListener direct = new SeatListener(aside, this::came);
+        SimulatedServer aside = onLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
+        SimulatedServerHandler direct = new SimulatedServerHandler(aside, this::came);
         RealGateway gateway = new RealGateway(
                 fleet,
                 pace,
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -93,7 +93,7 @@
         }
     }
 
-    void attemptSent(int gateway, SeatServer server, boolean crossZone, double nowMs) {
+    void attemptSent(int gateway, SimulatedServer server, boolean crossZone, double nowMs) {
         if (isMeasured(nowMs)) {
             attempts++;
             crossZoneAttempts += crossZone ? 1 : 0;
--- /dev/null
+++ b/src/main/java/deckfall/scale/SimulatedServer.java
@@ -0,0 +1,146 @@
+package deckfall.scale;
+
+import deckfall.Gateway.Host;
+import deckfall.Gateway.HostState;
+import deckfall.Gateway.Outcome;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * Stands in for a seat server: slots for requests in work, a line before them, service times by chance, slower while
+ * it is cold. It may drain, die, vanish from the network or take work and answer nothing.
+ */
+final class SimulatedServer {
+    enum State {
+        SERVING,
+        DRAINING,
+        HANGING,
+        TERMINATED,
+        UNREACHABLE
+    }
+
+    /** A copy of a request that came whole, and who waits for its end. */
+    private record Work(ClientRequest.Attempt attempt, Consumer<Outcome> onEnd) {}
+
+    final int index;
+    final String id;
+    final int zone;
+    final int cell;
+    private final EventQueue queue;
+    private final HollowOptions options;
+    private final ArrayDeque<Work> queuedWork = new ArrayDeque<>();
+    private final List<Work> activeWork = new ArrayList<>(2);
+    private State state = State.SERVING;
+    private double startedMs;
+    private int generation;
+
+    SimulatedServer(EventQueue queue, HollowOptions options, int index, int zone, int cell, double startedMs) {
+        this.queue = queue;
+        this.options = options;
+        this.index = index;
+        this.zone = zone;
+        this.cell = cell;
+        this.startedMs = startedMs;
+        id = "s-" + Long.toHexString(HashRandom.mix(options.seed, ~index) >>> 16);
+    }
+
+    State state() {
+        return state;
+    }
+
+    Host toHost() {
+        HostState hostState = switch (state) {
+            case DRAINING -> HostState.DRAINING;
+            case TERMINATED, UNREACHABLE -> HostState.GONE;
+            default -> HostState.RUNNING;
+        };
+        return new Host(id, NetworkTopology.zoneName(zone), "std", cell, hostState, 1, startedMs);
+    }
+
+    void drain() {
+        state = State.DRAINING;
+    }
+
+    void setHanging(boolean hanging) {
+        state = hanging ? State.HANGING : State.SERVING;
+        if (!hanging) {
+            endAllWork(Outcome.RESET); // as the process is started anew
+        }
+    }
+
+    /** Its process ends: connections are reset, new ones are refused. */
+    void terminate() {
+        state = State.TERMINATED;
+        endAllWork(Outcome.RESET);
+    }
+
+    /** Its machine is gone from the network: nothing more is heard of what it holds. */
+    void becomeUnreachable() {
+        state = State.UNREACHABLE;
+        generation++;
+        queuedWork.clear();
+        activeWork.clear();
+    }
+
+    /** Back with the same id, cold. */
+    void restart() {
+        state = State.SERVING;
+        startedMs = queue.now();
+    }
+
+    private void endAllWork(Outcome outcome) {
+        generation++;
+        List<Work> endedWork = new ArrayList<>(activeWork);
+        endedWork.addAll(queuedWork);
+        activeWork.clear();
+        queuedWork.clear();
+        endedWork.forEach(work -> work.onEnd.accept(outcome));
+    }
+
+    /** A copy has come whole. */
+    void accept(ClientRequest.Attempt attempt, Consumer<Outcome> onEnd) {
+        Work work = new Work(attempt, onEnd);
+        if (state == State.HANGING) {
+            activeWork.add(work);
+        } else if (state == State.DRAINING) {
+            onEnd.accept(Outcome.FULL);
+        } else if (activeWork.size() < options.slots()) {
+            startWork(work);
+        } else if (queuedWork.size() < options.slots() * options.queueSlots) {
+            queuedWork.add(work);
+        } else {
+            onEnd.accept(Outcome.FULL);
+        }
+    }
+
+    private void startWork(Work work) {
+        activeWork.add(work);
+        int startGeneration = generation;
+        ClientRequest request = work.attempt.request;
+        double serviceTimeFactor =
+                HashRandom.exponential(HashRandom.mix(options.seed, request.number), 64 + work.attempt.number);
+        queue.scheduleAfter(options.serviceMs * serviceTimeFactor / capacity(), () -> {
+            if (startGeneration == generation) {
+                finishWork(work);
+            }
+        });
+    }
+
+    private double capacity() {
+        double warmShare = startedMs <= 0 ? 1 : Math.min(1, (queue.now() - startedMs) / options.warmMs);
+        return options.coldFrom + (1 - options.coldFrom) * warmShare;
+    }
+
+    private void finishWork(Work work) {
+        activeWork.remove(work);
+        work.onEnd.accept(Outcome.OK);
+        while (!queuedWork.isEmpty() && activeWork.size() < options.slots()) {
+            Work next = queuedWork.poll();
+            if (!next.attempt.ended) { // else it is over already
+                startWork(next);
+            }
+        }
+    }
+}
--- a/src/main/java/deckfall/scale/SeatListener.java
+++ b/src/main/java/deckfall/scale/SimulatedServerHandler.java
@@ -15,27 +15,27 @@
 
 /** A seat server's address: requests of real gateways, and those that the run makes itself beside them. */
 @Sharable
-final class SeatListener extends SimpleChannelInboundHandler<FullHttpRequest> {
-    static final String TRACE = "X-Trace-Id";
+final class SimulatedServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    static final String TRACE_ID_HEADER = "X-Trace-Id";
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
 
     /** Who knows what a trace id stands for. */
-    interface Requests {
+    interface RequestReceiver {
         /** A request has come whole; its answer is written with {@link #answer}. */
-        void came(String id, SeatServer server, ChannelHandlerContext from);
+        void requestReceived(String id, SimulatedServer server, ChannelHandlerContext context);
     }
 
-    private final SeatServer server;
-    private final Requests requests;
+    private final SimulatedServer server;
+    private final RequestReceiver receiver;
 
-    SeatListener(SeatServer server, Requests requests) {
+    SimulatedServerHandler(SimulatedServer server, RequestReceiver receiver) {
         this.server = server;
-        this.requests = requests;
+        this.receiver = receiver;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        requests.came(String.valueOf(request.headers().get(TRACE)), server, ctx);
+        receiver.requestReceived(String.valueOf(request.headers().get(TRACE_ID_HEADER)), server, ctx);
     }
 
     @Override
@@ -44,8 +44,8 @@
     }
 
     /** {@code usedPct} is the meter's figure with 1 added, or 0. */
-    static void answer(ChannelHandlerContext to, Outcome outcome, int usedPct) {
-        boolean full = outcome == Outcome.FULL;
+    static void respond(ChannelHandlerContext context, Outcome outcome, int meterReading) {
+        boolean refused = outcome == Outcome.FULL;
         HttpResponseStatus status = switch (outcome) {
             case OK -> HttpResponseStatus.OK;
             case FULL -> HttpResponseStatus.SERVICE_UNAVAILABLE;
@@ -55,12 +55,12 @@
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(BODY));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-        if (full) {
+        if (refused) {
             response.headers().set("X-Never-Ran", "1");
         }
-        if (usedPct > 0) {
-            response.headers().set("X-Quota-Used", usedPct - 1);
+        if (meterReading > 0) {
+            response.headers().set("X-Quota-Used", meterReading - 1);
         }
-        to.writeAndFlush(response, to.voidPromise());
+        context.writeAndFlush(response, context.voidPromise());
     }
 }
