--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -102,7 +102,7 @@
     }
 
     private void lose(int gateway, double lengthMs) {
-        fleet.gateways[gateway].die();
+        fleet.gateways[gateway].terminate();
         queue.scheduleAfter(SimulatedLoadBalancer.FAILURE_DETECTION_MS, () -> fleet.front.checkHealth(gateway));
         queue.scheduleAfter(lengthMs, () -> {
             fleet.startGateway(gateway);
@@ -128,14 +128,14 @@
         if (!old.alive()) {
             return;
         }
-        HollowGateway next = fleet.startGateway(number);
-        if (release && old instanceof HollowGateway former) {
-            next.follow(former);
+        SimulatedGateway next = fleet.startGateway(number);
+        if (release && old instanceof SimulatedGateway former) {
+            next.takeOver(former);
         }
         queue.scheduleAfter(fleet.options.deadlineMs + OVERLAP_MS, () -> {
-            old.die();
+            old.terminate();
             if (release && next.alive()) {
-                next.besides(1);
+                next.setProcessCount(1);
             }
         });
     }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -98,13 +98,14 @@
     }
 
     /** A new process of a gateway, to which new tries go. */
-    HollowGateway startGateway(int number) {
+    SimulatedGateway startGateway(int number) {
         int zone = zones.zoneOf(number);
-        HollowGateway gateway = new HollowGateway(this, settings(number, NetworkTopology.zoneName(zone)), number, zone);
+        SimulatedGateway gateway =
+                new SimulatedGateway(this, settings(number, NetworkTopology.zoneName(zone)), number, zone);
         gateways[number] = gateway;
         gatewaysStarted++;
         gateway.start();
-        discovery.watch(number, gateway::hosts);
+        discovery.watch(number, gateway::hostsUpdated);
         return gateway;
     }
 
@@ -158,7 +159,7 @@
                 .refusalRetryAfterMs(t)
                 .ifPresentOrElse(
                         retryAfterMs -> ended(t, RunStatistics.RequestOutcome.REFUSED, retryAfterMs),
-                        () -> gateways[t.gateway].request(t));
+                        () -> gateways[t.gateway].handleRequest(t));
     }
 
     /** Who decides on quotas in place of the gateways; before any of them starts. */
@@ -189,7 +190,7 @@
         figures.attemptSent(from.number, to, to.zone != from.zone, now);
         double way = zones.latencyMs(from.zone, to.zone);
         if (!zones.canReach(from.zone, to.zone) || to.state() == SimulatedServer.State.UNREACHABLE) {
-            queue.scheduleAfter(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
+            queue.scheduleAfter(CONNECT_MS, () -> from.attemptEnded(a, Outcome.CONNECT_FAILED, 0));
         } else {
             queue.scheduleAfter(way, () -> reach(a, to, way));
         }
@@ -201,7 +202,7 @@
             return; // nothing comes back
         }
         if (to.state() == SimulatedServer.State.TERMINATED) {
-            queue.scheduleAfter(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
+            queue.scheduleAfter(way, () -> a.gateway.attemptEnded(a, Outcome.CONNECT_FAILED, 0));
             return;
         }
         if (!a.request.quotaCharged) {
@@ -213,7 +214,7 @@
             if (zones.canReach(a.gateway.zone, to.zone)) {
                 boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
                 int used = tells ? meter.reading(a.request.customer, queue.now()) : 0;
-                queue.scheduleAfter(way, () -> a.gateway.ended(a, outcome, used));
+                queue.scheduleAfter(way, () -> a.gateway.attemptEnded(a, outcome, used));
             }
         });
     }
@@ -233,7 +234,7 @@
     long busyNanos() {
         long sum = 0;
         for (FleetGateway g : gateways) {
-            sum += g != null && g.alive() ? g.busyNanos() : 0;
+            sum += g != null && g.alive() ? g.decisionNanos() : 0;
         }
         return sum + endedNanos;
     }
@@ -242,8 +243,8 @@
         return gatewaysStarted;
     }
 
-    void processEnded(HollowGateway gateway) {
-        endedNanos += gateway.busyNanos();
+    void processEnded(SimulatedGateway gateway) {
+        endedNanos += gateway.decisionNanos();
     }
 
     /** What discovery now tells of the servers. */
--- a/src/main/java/deckfall/scale/FleetGateway.java
+++ b/src/main/java/deckfall/scale/FleetGateway.java
@@ -15,13 +15,13 @@
     abstract boolean alive();
 
     /** A client's request has come whole. */
-    abstract void request(ClientRequest t);
+    abstract void handleRequest(ClientRequest request);
 
     /** An attempt has ended; {@code usedPct} is what the meter told with it, 0 where it told nothing. */
-    abstract void ended(ClientRequest.Attempt a, Outcome outcome, int usedPct);
+    abstract void attemptEnded(ClientRequest.Attempt attempt, Outcome outcome, int meterReading);
 
-    abstract void die();
+    abstract void terminate();
 
     /** The time that its decision module took, where that is timed. */
-    abstract long busyNanos();
+    abstract long decisionNanos();
 }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -21,44 +21,44 @@
  * addresses. Each request is paired with one that goes to a seat server directly and takes as long there.
  */
 final class RealGateway extends FleetGateway implements SimulatedServerHandler.RequestReceiver {
-    private static final double GRACE_MS = 500; // after a deadline, until a request counts as unanswered
+    private static final double UNANSWERED_GRACE_MS = 500; // after a deadline, until a request counts as unanswered
     private static final byte[] BODY = "a body".getBytes(StandardCharsets.US_ASCII);
-    private static final int REFUSED = 429;
-    private static final int UNAVAILABLE = 503;
-    private static final int OK = 200;
-    private static final String DIRECT = "d";
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+    private static final int STATUS_SERVICE_UNAVAILABLE = 503;
+    private static final int STATUS_OK = 200;
+    private static final String DIRECT_ID_PREFIX = "d";
 
     /** The two times of a pair; below nothing while not known. */
-    private static final class Pair {
-        private double viaMs = -1;
+    private static final class LatencyPair {
+        private double gatewayMs = -1;
         private double directMs = -1;
     }
 
     private final Fleet fleet;
-    private final RealTimePacer pace;
+    private final RealTimePacer pacer;
     private final Settings settings;
-    private final PairedLatencies times;
-    private final HttpConnectionPool clients;
-    private final HttpConnectionPool direct;
-    private final Map<String, ClientRequest> open = new LinkedHashMap<>();
-    private final Map<String, ClientRequest> directs = new HashMap<>();
-    private final Map<ClientRequest.Attempt, ChannelHandlerContext> exchanges = new HashMap<>();
+    private final PairedLatencies latencies;
+    private final HttpConnectionPool gatewayPool;
+    private final HttpConnectionPool directPool;
+    private final Map<String, ClientRequest> openRequests = new LinkedHashMap<>();
+    private final Map<String, ClientRequest> directRequests = new HashMap<>();
+    private final Map<ClientRequest.Attempt, ChannelHandlerContext> pendingResponses = new HashMap<>();
 
     RealGateway(
             Fleet fleet,
-            RealTimePacer pace,
+            RealTimePacer pacer,
             Settings settings,
             int zone,
-            PairedLatencies times,
-            HttpConnectionPool clients,
-            HttpConnectionPool direct) {
+            PairedLatencies latencies,
+            HttpConnectionPool gatewayPool,
+            HttpConnectionPool directPool) {
         super(settings.gatewayNumber(), zone);
         this.fleet = fleet;
-        this.pace = pace;
+        this.pacer = pacer;
         this.settings = settings;
-        this.times = times;
-        this.clients = clients;
-        this.direct = direct;
+        this.latencies = latencies;
+        this.gatewayPool = gatewayPool;
+        this.directPool = directPool;
     }
 
     @Override
@@ -67,126 +67,134 @@
     }
 
     @Override
-    void die() {}
+    void terminate() {}
 
     @Override
-    long busyNanos() {
+    long decisionNanos() {
         return 0;
     }
 
     @Override
-    void request(ClientRequest t) {
-        open.put(t.id, t);
-        Pair pair = new Pair();
-        long from = System.nanoTime();
-        clients.send(request(t, t.id), response -> {
-            double ms = (System.nanoTime() - from) / 1e6;
-            pace.catchUp();
-            answered(t, response);
-            pair.viaMs = response != null && response.status().code() == OK ? ms : -1;
-            note(t, pair);
+    void handleRequest(ClientRequest request) {
+        openRequests.put(request.id, request);
+        LatencyPair pair = new LatencyPair();
+        long startNanos = System.nanoTime();
+        gatewayPool.send(buildRequest(request, request.id), response -> {
+            double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
+            pacer.catchUp();
+            responseReceived(request, response);
+            pair.gatewayMs = response != null && response.status().code() == STATUS_OK ? elapsedMs : -1;
+            recordPair(request, pair);
         });
-        directs.put(DIRECT + t.id, t);
-        long directFrom = System.nanoTime();
-        direct.send(request(t, DIRECT + t.id), response -> {
-            pair.directMs =
-                    response != null && response.status().code() == OK ? (System.nanoTime() - directFrom) / 1e6 : -1;
-            directs.remove(DIRECT + t.id);
-            note(t, pair);
+        directRequests.put(DIRECT_ID_PREFIX + request.id, request);
+        long directStartNanos = System.nanoTime();
+        directPool.send(buildRequest(request, DIRECT_ID_PREFIX + request.id), response -> {
+            pair.directMs = response != null && response.status().code() == STATUS_OK
+                    ? (System.nanoTime() - directStartNanos) / 1e6
+                    : -1;
+            directRequests.remove(DIRECT_ID_PREFIX + request.id);
+            recordPair(request, pair);
         });
-        fleet.queue.scheduleAt(t.deadlineMs + GRACE_MS, () -> close(t, RunStatistics.RequestOutcome.UNANSWERED, 0));
+        fleet.queue.scheduleAt(
+                request.deadlineMs + UNANSWERED_GRACE_MS,
+                () -> closeRequest(request, RunStatistics.RequestOutcome.UNANSWERED, 0));
     }
 
-    private void note(ClientRequest t, Pair pair) {
-        if (t.measured && pair.viaMs >= 0 && pair.directMs >= 0) {
-            times.add(pair.viaMs, pair.directMs);
+    private void recordPair(ClientRequest request, LatencyPair pair) {
+        if (request.measured && pair.gatewayMs >= 0 && pair.directMs >= 0) {
+            latencies.add(pair.gatewayMs, pair.directMs);
         }
     }
 
-    private FullHttpRequest request(ClientRequest t, String id) {
+    private FullHttpRequest buildRequest(ClientRequest request, String id) {
         Customers customers = fleet.customers;
-        boolean safe = settings.classes().get(t.requestClass).effect() == Effect.REPEATABLE;
-        byte[] body = safe ? new byte[0] : BODY;
-        FullHttpRequest r = new DefaultFullHttpRequest(
+        boolean repeatable = settings.classes().get(request.requestClass).effect() == Effect.REPEATABLE;
+        byte[] body = repeatable ? new byte[0] : BODY;
+        FullHttpRequest httpRequest = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST,
-                "/" + settings.classes().get(t.requestClass).name(),
+                repeatable ? HttpMethod.GET : HttpMethod.POST,
+                "/" + settings.classes().get(request.requestClass).name(),
                 Unpooled.wrappedBuffer(body));
-        r.headers()
+        httpRequest
+                .headers()
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set(SimulatedServerHandler.TRACE_ID_HEADER, id)
-                .set("X-Plan", customers.plan(t.customer).name())
-                .set("X-Customer", String.format("%016x", customers.gatewayId(t.customer)))
+                .set("X-Plan", customers.plan(request.customer).name())
+                .set("X-Customer", String.format("%016x", customers.gatewayId(request.customer)))
                 .set("X-Expires-In-Ms", (long) fleet.options.deadlineMs)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(
                         "X-Quota",
-                        "units=" + t.units + ",spread=" + customers.spread() + ",first=" + customers.first(t.customer));
-        return r;
+                        "units=" + request.units + ",spread=" + customers.spread() + ",first="
+                                + customers.first(request.customer));
+        return httpRequest;
     }
 
-    private void answered(ClientRequest t, FullHttpResponse response) {
+    private void responseReceived(ClientRequest request, FullHttpResponse response) {
         int status = response == null ? 0 : response.status().code();
-        if (status == OK) {
-            close(t, RunStatistics.RequestOutcome.SERVED, 0);
-        } else if (status == REFUSED || status == UNAVAILABLE) {
-            String told = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-            close(t, RunStatistics.RequestOutcome.REFUSED, told == null ? 0 : 1000 * Double.parseDouble(told));
+        if (status == STATUS_OK) {
+            closeRequest(request, RunStatistics.RequestOutcome.SERVED, 0);
+        } else if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_SERVICE_UNAVAILABLE) {
+            String retryAfterSeconds = response.headers().get(HttpHeaderNames.RETRY_AFTER);
+            closeRequest(
+                    request,
+                    RunStatistics.RequestOutcome.REFUSED,
+                    retryAfterSeconds == null ? 0 : 1000 * Double.parseDouble(retryAfterSeconds));
         } else {
-            close(
-                    t,
+            closeRequest(
+                    request,
                     response == null ? RunStatistics.RequestOutcome.UNANSWERED : RunStatistics.RequestOutcome.FAILED,
                     0);
         }
     }
 
-    private void close(ClientRequest t, RunStatistics.RequestOutcome end, double retryAfterMs) {
-        if (t.closed) {
+    private void closeRequest(ClientRequest request, RunStatistics.RequestOutcome requestOutcome, double retryAfterMs) {
+        if (request.closed) {
             return;
         }
-        t.closed = true;
-        open.remove(t.id);
-        times.requestEnded(t, end);
-        fleet.ended(t, end, retryAfterMs);
+        request.closed = true;
+        openRequests.remove(request.id);
+        latencies.requestEnded(request, requestOutcome);
+        fleet.ended(request, requestOutcome, retryAfterMs);
     }
 
-    boolean knows(String id) {
-        return open.containsKey(id) || directs.containsKey(id);
+    boolean hasRequest(String id) {
+        return openRequests.containsKey(id) || directRequests.containsKey(id);
     }
 
     @Override
-    public void requestReceived(String id, SimulatedServer server, ChannelHandlerContext from) {
-        ClientRequest twin = directs.get(id);
-        if (twin != null) {
-            ClientRequest alone = new ClientRequest(
-                    twin.number,
-                    twin.customer,
-                    twin.units,
-                    twin.requestClass,
+    public void requestReceived(String id, SimulatedServer server, ChannelHandlerContext context) {
+        ClientRequest directRequest = directRequests.get(id);
+        if (directRequest != null) {
+            ClientRequest directCopy = new ClientRequest(
+                    directRequest.number,
+                    directRequest.customer,
+                    directRequest.units,
+                    directRequest.requestClass,
                     0,
-                    twin.arrivedMs,
-                    twin.deadlineMs,
+                    directRequest.arrivedMs,
+                    directRequest.deadlineMs,
                     false);
             server.accept(
-                    new ClientRequest.Attempt(this, alone, server.id, fleet.queue.now()),
-                    outcome -> SimulatedServerHandler.respond(from, outcome, 0));
+                    new ClientRequest.Attempt(this, directCopy, server.id, fleet.queue.now()),
+                    outcome -> SimulatedServerHandler.respond(context, outcome, 0));
             return;
         }
-        ClientRequest t = open.get(id);
-        ClientRequest.Attempt a = new ClientRequest.Attempt(this, t, server.id, fleet.queue.now());
-        t.attempts.add(a);
-        t.dispatched = true;
-        exchanges.put(a, from);
+        ClientRequest request = openRequests.get(id);
+        ClientRequest.Attempt attempt = new ClientRequest.Attempt(this, request, server.id, fleet.queue.now());
+        request.attempts.add(attempt);
+        request.dispatched = true;
+        pendingResponses.put(attempt, context);
         fleet.figures.attemptSent(number, server, server.zone != zone, fleet.queue.now());
-        fleet.reach(a, server, 0);
+        fleet.reach(attempt, server, 0);
     }
 
     @Override
-    void ended(ClientRequest.Attempt a, Outcome outcome, int usedPct) {
-        a.ended = true;
-        ChannelHandlerContext to = exchanges.remove(a);
-        if (to != null) {
-            SimulatedServerHandler.respond(to, outcome, usedPct);
+    void attemptEnded(ClientRequest.Attempt attempt, Outcome outcome, int meterReading) {
+        attempt.ended = true;
+        ChannelHandlerContext context = pendingResponses.remove(attempt);
+        if (context != null) {
+            SimulatedServerHandler.respond(context, outcome, meterReading);
         }
     }
 }
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -122,7 +122,7 @@
     private void came(String id, SimulatedServer server, ChannelHandlerContext from) {
         pace.catchUp();
         for (RealGateway g : gateways) {
-            if (g.knows(id)) {
+            if (g.hasRequest(id)) {
                 g.requestReceived(id, server, from);
                 return;
             }
