--- a/src/main/java/deckfall/scale/CounterConnectionHandler.java
+++ b/src/main/java/deckfall/scale/CounterConnectionHandler.java
@@ -63,7 +63,7 @@
             reply(ctx, pendingReply, "+OK\r\n");
             return;
         }
-        fleet.call(
+        fleet.callCounter(
                 gateway,
                 words.get(1),
                 Double.parseDouble(words.get(2)),
--- a/src/main/java/deckfall/scale/FaultSchedule.java
+++ b/src/main/java/deckfall/scale/FaultSchedule.java
@@ -50,7 +50,7 @@
     // ---- servers
 
     private void replaceServers(Fault f) {
-        fleet.figures.serversChanged();
+        fleet.statistics.serversChanged();
         int count = Math.min(f.count(), fleet.options.servers);
         for (int i = 0; i < count; i++) {
             SimulatedServer old = fleet.servers.get(chosen(i, count, fleet.options.servers));
@@ -63,10 +63,10 @@
             return;
         }
         old.drain();
-        fleet.changed(List.of(old, fleet.addServer(old.zone, old.cell, queue.now())));
+        fleet.serversChanged(List.of(old, fleet.addServer(old.zone, old.cell, queue.now())));
         queue.scheduleAfter(DRAIN_MS, () -> {
             old.terminate();
-            fleet.changed(List.of(old));
+            fleet.serversChanged(List.of(old));
         });
     }
 
@@ -81,14 +81,14 @@
 
     /** Their machines say nothing any more, and are back with a cold start. */
     private void lose(Fault f, Predicate<SimulatedServer> which) {
-        fleet.figures.serversChanged();
+        fleet.statistics.serversChanged();
         List<SimulatedServer> lost = new ArrayList<>(fleet.servers);
         lost.removeIf(s -> !which.test(s) || s.state() != SimulatedServer.State.SERVING);
         lost.forEach(SimulatedServer::becomeUnreachable);
-        queue.scheduleAfter(NOTICED_MS, () -> fleet.changed(lost));
+        queue.scheduleAfter(NOTICED_MS, () -> fleet.serversChanged(lost));
         queue.scheduleAfter(Math.max(NOTICED_MS, f.lengthMs()), () -> {
             lost.forEach(SimulatedServer::restart);
-            fleet.changed(lost);
+            fleet.serversChanged(lost);
         });
     }
 
@@ -103,10 +103,10 @@
 
     private void lose(int gateway, double lengthMs) {
         fleet.gateways[gateway].terminate();
-        queue.scheduleAfter(SimulatedLoadBalancer.FAILURE_DETECTION_MS, () -> fleet.front.checkHealth(gateway));
+        queue.scheduleAfter(SimulatedLoadBalancer.FAILURE_DETECTION_MS, () -> fleet.loadBalancer.checkHealth(gateway));
         queue.scheduleAfter(lengthMs, () -> {
             fleet.startGateway(gateway);
-            fleet.front.checkHealth(gateway);
+            fleet.loadBalancer.checkHealth(gateway);
         });
     }
 
@@ -161,10 +161,10 @@
 
     /** Discovery and the counter are on one side alone. */
     private void cut(Fault f) {
-        int side = fleet.zones.regionOf(Fleet.SERVICES_ZONE);
-        fleet.zones.partitioned(true);
-        silence(f, g -> fleet.zones.regionOf(g.zone) != side);
-        queue.scheduleAfter(f.lengthMs(), () -> fleet.zones.partitioned(false));
+        int side = fleet.topology.regionOf(Fleet.SERVICES_ZONE);
+        fleet.topology.partitioned(true);
+        silence(f, g -> fleet.topology.regionOf(g.zone) != side);
+        queue.scheduleAfter(f.lengthMs(), () -> fleet.topology.partitioned(false));
     }
 
     private void silence(Fault f, Predicate<FleetGateway> which) {
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -18,39 +18,39 @@
 
 /** All gateways, servers and services of a run, and what passes between them. */
 final class Fleet {
-    private static final int MOST_ATTEMPTS = 3;
-    private static final double CONNECT_MS = 250;
-    private static final int ONCE_EVERY = 3; // of the classes, one that may not be repeated
-    private static final double MOST_RETRY_AFTER_MS = 500;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final double CONNECT_TIMEOUT_MS = 250;
+    private static final int ONCE_CLASS_INTERVAL = 3; // of the classes, one that may not be repeated
+    private static final double MAX_RETRY_AFTER_MS = 500;
     static final int SERVICES_ZONE = 0; // where discovery and the counter stand
-    private static final int RACK = 20; // servers of one zone
+    private static final int SERVERS_PER_RACK = 20; // servers of one zone
 
     final EventQueue queue = new EventQueue();
     final HollowOptions options;
     final Customers customers;
     final QuotaAccounting quotas;
-    final RunStatistics figures;
-    final NetworkTopology zones;
+    final RunStatistics statistics;
+    final NetworkTopology topology;
     final SimulatedDiscovery discovery;
     final SimulatedCounter counter; // null: none
     final List<SimulatedServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
-    final SimulatedLoadBalancer front;
+    final SimulatedLoadBalancer loadBalancer;
     private final SimulatedClients clients;
     private final SimulatedMeter meter;
     private final Map<String, SimulatedServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
-    private AdmissionPolicy admission = AdmissionPolicy.DECIDED_BY_GATEWAYS;
+    private AdmissionPolicy admissionPolicy = AdmissionPolicy.DECIDED_BY_GATEWAYS;
     private int gatewaysStarted;
-    private long endedNanos;
+    private long endedProcessesNanos;
 
     /** With some gateways that are not hollow, which whoever makes it puts into the first places, and some hollow. */
-    Fleet(HollowOptions options, int real, int hollow) {
+    Fleet(HollowOptions options, int realGateways, int simulatedGateways) {
         this.options = options;
         customers = new Customers(options);
-        figures = new RunStatistics(options);
-        quotas = new QuotaAccounting(customers, figures.perSecond);
-        zones = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
+        statistics = new RunStatistics(options);
+        quotas = new QuotaAccounting(customers, statistics.perSecond);
+        topology = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
         discovery = new SimulatedDiscovery(queue, options);
         counter = options.counterRate <= 0
                 ? null
@@ -63,11 +63,11 @@
         meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterLateMs);
         clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
-        front = new SimulatedLoadBalancer(this);
+        loadBalancer = new SimulatedLoadBalancer(this);
         for (int i = 0; i < options.classes; i++) {
             classes.add(new RequestClass(
                     "c" + i,
-                    i % ONCE_EVERY == 1 ? Effect.ONCE : Effect.REPEATABLE,
+                    i % ONCE_CLASS_INTERVAL == 1 ? Effect.ONCE : Effect.REPEATABLE,
                     KeyScope.ALL,
                     0,
                     options.goalMs,
@@ -77,29 +77,30 @@
                     false));
         }
         for (int i = 0; i < options.servers; i++) {
-            discovery.addInitialHost(addServer(zones.zoneOf(i), rack(i), 0).toHost());
+            discovery.addInitialHost(addServer(topology.zoneOf(i), rackOf(i), 0).toHost());
         }
-        for (int g = real; g < real + hollow; g++) {
-            int number = g; // none in step with another: their beats would meet at the counter
-            double at = HashRandom.uniformBetween(0, HollowOptions.START_MS, HashRandom.mix(options.seed, number), -1);
-            queue.scheduleAt(at, () -> startGateway(number));
+        for (int gateway = realGateways; gateway < realGateways + simulatedGateways; gateway++) {
+            int number = gateway; // none in step with another: their beats would meet at the counter
+            double startAtMs =
+                    HashRandom.uniformBetween(0, HollowOptions.START_MS, HashRandom.mix(options.seed, number), -1);
+            queue.scheduleAt(startAtMs, () -> startGateway(number));
         }
     }
 
-    private int rack(int server) {
-        return server / (options.zones * RACK) * options.zones + zones.zoneOf(server);
+    private int rackOf(int server) {
+        return server / (options.zones * SERVERS_PER_RACK) * options.zones + topology.zoneOf(server);
     }
 
     SimulatedServer addServer(int zone, int cell, double startedMs) {
-        SimulatedServer s = new SimulatedServer(queue, options, servers.size(), zone, cell, startedMs);
-        servers.add(s);
-        serversById.put(s.id, s);
-        return s;
+        SimulatedServer server = new SimulatedServer(queue, options, servers.size(), zone, cell, startedMs);
+        servers.add(server);
+        serversById.put(server.id, server);
+        return server;
     }
 
     /** A new process of a gateway, to which new tries go. */
     SimulatedGateway startGateway(int number) {
-        int zone = zones.zoneOf(number);
+        int zone = topology.zoneOf(number);
         SimulatedGateway gateway =
                 new SimulatedGateway(this, settings(number, NetworkTopology.zoneName(zone)), number, zone);
         gateways[number] = gateway;
@@ -110,7 +111,7 @@
     }
 
     Settings settings(int number, String zone) {
-        List<Plan> plans = admission.replacesGatewayQuotas() ? customers.plansWithoutQuotas() : customers.plans();
+        List<Plan> plans = admissionPolicy.replacesGatewayQuotas() ? customers.plansWithoutQuotas() : customers.plans();
         boolean metered = options.meterLateMs > 0;
         return new Settings(
                 HashRandom.mix(options.seed, number),
@@ -121,7 +122,7 @@
                 List.copyOf(classes),
                 plans,
                 List.of(),
-                new Limits(MOST_ATTEMPTS, false, true, false, false, true, MOST_RETRY_AFTER_MS, CONNECT_MS),
+                new Limits(MAX_ATTEMPTS, false, true, false, false, true, MAX_RETRY_AFTER_MS, CONNECT_TIMEOUT_MS),
                 new Rules(8, 500, 2, 1000, options.coldFrom, options.warmMs, 0),
                 new Coordination(
                         counter != null,
@@ -136,107 +137,107 @@
                         0));
     }
 
-    void startClients(double until) {
-        clients.start(until);
+    void startClients(double untilMs) {
+        clients.start(untilMs);
     }
 
     // ---- clients and gateways
 
-    private void arrive(ClientRequest t) {
-        if (gateways[t.gateway] == null) {
+    private void arrive(ClientRequest request) {
+        if (gateways[request.gateway] == null) {
             return; // no part of this run, nor are its clients
         }
-        figures.requestArrived(t);
-        if (t.retryNumber == 0) {
-            quotas.requestOffered(t);
+        statistics.requestArrived(request);
+        if (request.retryNumber == 0) {
+            quotas.requestOffered(request);
         }
-        t.gateway = front.gatewayFor(t);
-        if (!gateways[t.gateway].alive()) {
-            ended(t, RunStatistics.RequestOutcome.NO_GATEWAY, 0);
+        request.gateway = loadBalancer.gatewayFor(request);
+        if (!gateways[request.gateway].alive()) {
+            requestEnded(request, RunStatistics.RequestOutcome.NO_GATEWAY, 0);
             return;
         }
-        admission
-                .refusalRetryAfterMs(t)
+        admissionPolicy
+                .refusalRetryAfterMs(request)
                 .ifPresentOrElse(
-                        retryAfterMs -> ended(t, RunStatistics.RequestOutcome.REFUSED, retryAfterMs),
-                        () -> gateways[t.gateway].handleRequest(t));
+                        retryAfterMs -> requestEnded(request, RunStatistics.RequestOutcome.REFUSED, retryAfterMs),
+                        () -> gateways[request.gateway].handleRequest(request));
     }
 
     /** Who decides on quotas in place of the gateways; before any of them starts. */
-    void admitBy(AdmissionPolicy by) {
-        admission = by;
+    void setAdmissionPolicy(AdmissionPolicy policy) {
+        admissionPolicy = policy;
     }
 
     /** A try has its final answer. */
-    void ended(ClientRequest t, RunStatistics.RequestOutcome end, double retryAfterMs) {
-        figures.requestEnded(t, end, queue.now());
-        if (end == RunStatistics.RequestOutcome.REFUSED) {
-            figures.refusedWithRetryAfter += t.measured && retryAfterMs > 0 ? 1 : 0;
-            if (!t.dispatched) {
-                quotas.requestRefused(t, queue.now());
+    void requestEnded(ClientRequest request, RunStatistics.RequestOutcome outcome, double retryAfterMs) {
+        statistics.requestEnded(request, outcome, queue.now());
+        if (outcome == RunStatistics.RequestOutcome.REFUSED) {
+            statistics.refusedWithRetryAfter += request.measured && retryAfterMs > 0 ? 1 : 0;
+            if (!request.dispatched) {
+                quotas.requestRefused(request, queue.now());
             }
         }
-        if (end == RunStatistics.RequestOutcome.REFUSED || end == RunStatistics.RequestOutcome.NO_GATEWAY) {
-            clients.retryOrGiveUp(t, retryAfterMs);
+        if (outcome == RunStatistics.RequestOutcome.REFUSED || outcome == RunStatistics.RequestOutcome.NO_GATEWAY) {
+            clients.retryOrGiveUp(request, retryAfterMs);
         }
     }
 
     // ---- gateways and servers
 
-    void attempt(ClientRequest.Attempt a) {
-        FleetGateway from = a.gateway;
-        SimulatedServer to = serversById.get(a.host);
-        double now = queue.now();
-        figures.attemptSent(from.number, to, to.zone != from.zone, now);
-        double way = zones.latencyMs(from.zone, to.zone);
-        if (!zones.canReach(from.zone, to.zone) || to.state() == SimulatedServer.State.UNREACHABLE) {
-            queue.scheduleAfter(CONNECT_MS, () -> from.attemptEnded(a, Outcome.CONNECT_FAILED, 0));
+    void sendAttempt(ClientRequest.Attempt attempt) {
+        FleetGateway gateway = attempt.gateway;
+        SimulatedServer server = serversById.get(attempt.host);
+        double nowMs = queue.now();
+        statistics.attemptSent(gateway.number, server, server.zone != gateway.zone, nowMs);
+        double latencyMs = topology.latencyMs(gateway.zone, server.zone);
+        if (!topology.canReach(gateway.zone, server.zone) || server.state() == SimulatedServer.State.UNREACHABLE) {
+            queue.scheduleAfter(CONNECT_TIMEOUT_MS, () -> gateway.attemptEnded(attempt, Outcome.CONNECT_FAILED, 0));
         } else {
-            queue.scheduleAfter(way, () -> reach(a, to, way));
+            queue.scheduleAfter(latencyMs, () -> deliverAttempt(attempt, server, latencyMs));
         }
     }
 
     /** An attempt comes whole to a server. */
-    void reach(ClientRequest.Attempt a, SimulatedServer to, double way) {
-        if (to.state() == SimulatedServer.State.UNREACHABLE) {
+    void deliverAttempt(ClientRequest.Attempt attempt, SimulatedServer server, double latencyMs) {
+        if (server.state() == SimulatedServer.State.UNREACHABLE) {
             return; // nothing comes back
         }
-        if (to.state() == SimulatedServer.State.TERMINATED) {
-            queue.scheduleAfter(way, () -> a.gateway.attemptEnded(a, Outcome.CONNECT_FAILED, 0));
+        if (server.state() == SimulatedServer.State.TERMINATED) {
+            queue.scheduleAfter(latencyMs, () -> attempt.gateway.attemptEnded(attempt, Outcome.CONNECT_FAILED, 0));
             return;
         }
-        if (!a.request.quotaCharged) {
-            a.request.quotaCharged = true;
-            quotas.requestReachedServer(a.request, queue.now());
-            meter.recordUse(a.request.customer, a.request.units, queue.now());
+        if (!attempt.request.quotaCharged) {
+            attempt.request.quotaCharged = true;
+            quotas.requestReachedServer(attempt.request, queue.now());
+            meter.recordUse(attempt.request.customer, attempt.request.units, queue.now());
         }
-        to.accept(a, outcome -> {
-            if (zones.canReach(a.gateway.zone, to.zone)) {
-                boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
-                int used = tells ? meter.reading(a.request.customer, queue.now()) : 0;
-                queue.scheduleAfter(way, () -> a.gateway.attemptEnded(a, outcome, used));
+        server.accept(attempt, outcome -> {
+            if (topology.canReach(attempt.gateway.zone, server.zone)) {
+                boolean metered = outcome == Outcome.OK || outcome == Outcome.FULL;
+                int meterReading = metered ? meter.reading(attempt.request.customer, queue.now()) : 0;
+                queue.scheduleAfter(latencyMs, () -> attempt.gateway.attemptEnded(attempt, outcome, meterReading));
             }
         });
     }
 
-    void call(
-            FleetGateway from,
+    void callCounter(
+            FleetGateway gateway,
             String name,
             double amount,
-            double lifeMs,
+            double lifetimeMs,
             double timeoutMs,
-            ObjDoubleConsumer<Outcome> end) {
-        counter.call(name, amount, lifeMs, timeoutMs, zones.canReach(from.zone, SERVICES_ZONE), end);
+            ObjDoubleConsumer<Outcome> onResult) {
+        counter.call(name, amount, lifetimeMs, timeoutMs, topology.canReach(gateway.zone, SERVICES_ZONE), onResult);
     }
 
     // ---- figures over all processes
 
-    long busyNanos() {
+    long decisionNanos() {
         long sum = 0;
-        for (FleetGateway g : gateways) {
-            sum += g != null && g.alive() ? g.decisionNanos() : 0;
+        for (FleetGateway gateway : gateways) {
+            sum += gateway != null && gateway.alive() ? gateway.decisionNanos() : 0;
         }
-        return sum + endedNanos;
+        return sum + endedProcessesNanos;
     }
 
     int gatewaysStarted() {
@@ -244,13 +245,13 @@
     }
 
     void processEnded(SimulatedGateway gateway) {
-        endedNanos += gateway.decisionNanos();
+        endedProcessesNanos += gateway.decisionNanos();
     }
 
     /** What discovery now tells of the servers. */
-    void changed(List<SimulatedServer> changed) {
+    void serversChanged(List<SimulatedServer> changedServers) {
         List<Host> hosts = new ArrayList<>();
-        changed.forEach(s -> hosts.add(s.toHost()));
+        changedServers.forEach(server -> hosts.add(server.toHost()));
         discovery.publish(hosts);
     }
 }
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/HollowRun.java
@@ -35,7 +35,7 @@
     /** The same tries, let in by stores that are known as they were so many milliseconds ago. */
     Result playReference(double delayMs) {
         Fleet reference = new Fleet(options, 0, options.gateways);
-        reference.admitBy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
+        reference.setAdmissionPolicy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
         return play(reference);
     }
 
@@ -68,13 +68,13 @@
      */
     private double coresUntil(double endMs) {
         double from = fleet.queue.now();
-        long busy = fleet.busyNanos();
+        long busy = fleet.decisionNanos();
         long wall = System.nanoTime();
         long processor = THREADS.getCurrentThreadCpuTime();
         runTo(endMs);
         double ran = (THREADS.getCurrentThreadCpuTime() - processor) / Math.max(1.0, System.nanoTime() - wall);
         double ms = Math.max(1, fleet.queue.now() - from) * options.gateways;
-        return (fleet.busyNanos() - busy) / 1e6 / ms * Math.min(1, ran);
+        return (fleet.decisionNanos() - busy) / 1e6 / ms * Math.min(1, ran);
     }
 
     private void runTo(double endMs) {
@@ -87,7 +87,7 @@
                         "scale: at %.1f of %.1f s, %d tries, %.0f s gone%n",
                         fleet.queue.now() / 1000,
                         options.endMs() / 1000 + options.idleSeconds,
-                        fleet.figures.totalRequests,
+                        fleet.statistics.totalRequests,
                         (now - startedNanos) / 1e9);
             }
         }
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -155,7 +155,7 @@
         request.closed = true;
         openRequests.remove(request.id);
         latencies.requestEnded(request, requestOutcome);
-        fleet.ended(request, requestOutcome, retryAfterMs);
+        fleet.requestEnded(request, requestOutcome, retryAfterMs);
     }
 
     boolean hasRequest(String id) {
@@ -185,8 +185,8 @@
         request.attempts.add(attempt);
         request.dispatched = true;
         pendingResponses.put(attempt, context);
-        fleet.figures.attemptSent(number, server, server.zone != zone, fleet.queue.now());
-        fleet.reach(attempt, server, 0);
+        fleet.statistics.attemptSent(number, server, server.zone != zone, fleet.queue.now());
+        fleet.deliverAttempt(attempt, server, 0);
     }
 
     @Override
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -134,7 +134,7 @@
 
     private void start(int number) throws IOException, InterruptedException, ExecutionException {
         ControlTraffic traffic = new ControlTraffic();
-        int zone = fleet.zones.zoneOf(number);
+        int zone = fleet.topology.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
         SimulatedServer aside = onLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -54,7 +54,7 @@
     }
 
     private void tries() {
-        RunStatistics f = fleet.figures;
+        RunStatistics f = fleet.statistics;
         put("tries_all", f.totalRequests);
         put("answers_all", f.totalAnswers);
         put("tries", f.requests);
@@ -71,7 +71,7 @@
     }
 
     private void quotas() {
-        RunStatistics f = fleet.figures;
+        RunStatistics f = fleet.statistics;
         QuotaAccounting q = fleet.quotas;
         put("refused_with_room", q.refusedInQuota());
         put("refused_with_room_share", share(q.refusedInQuota(), f.requests));
@@ -97,7 +97,7 @@
     }
 
     private void counter() {
-        RunStatistics f = fleet.figures;
+        RunStatistics f = fleet.statistics;
         put("calls", f.totalCalls());
         put("calls_per_second_mean", f.totalCalls() / options.seconds);
         put("calls_per_second_max", f.perSecond.max(PerSecondTotals.Metric.CALLS));
@@ -117,7 +117,7 @@
     }
 
     private void hosts() {
-        RunStatistics f = fleet.figures;
+        RunStatistics f = fleet.statistics;
         put("hosts_used_per_gateway", f.hostsUsed());
         put("hosts_used_before_change", f.hostsUsedBefore());
         put("hosts_newly_used_per_gateway", f.hostsNewlyUsed());
@@ -149,7 +149,7 @@
         line.put("run", run);
         line.put("arguments", arguments);
         line.put("figures", figures);
-        line.put("per_second", fleet.figures.perSecond.toMap());
+        line.put("per_second", fleet.statistics.perSecond.toMap());
         line.put("costs", costs);
         try {
             String text = new ObjectMapper().writeValueAsString(line) + '\n';
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -168,7 +168,7 @@
         undecidedRequests -= request.isUndecided() ? 1 : 0;
         request.closed = true;
         removeIfComplete(request);
-        fleet.ended(request, requestOutcome, retryAfterMs);
+        fleet.requestEnded(request, requestOutcome, retryAfterMs);
     }
 
     private void removeIfComplete(ClientRequest request) {
@@ -216,12 +216,12 @@
         if (!request.dispatched) {
             undecidedRequests--;
             request.dispatched = true;
-            fleet.figures.requestDispatched(request, now());
+            fleet.statistics.requestDispatched(request, now());
         }
         if (timeoutMs > 0) {
             fleet.queue.scheduleAfter(timeoutMs, () -> attemptEnded(attempt, Outcome.TIMEOUT, 0));
         }
-        fleet.attempt(attempt);
+        fleet.sendAttempt(attempt);
     }
 
     @Override
@@ -274,20 +274,21 @@
     private void callCounter(CounterCall call, boolean requestWaits) {
         RunStatistics.CallPurpose waitPurpose =
                 requestWaits ? RunStatistics.CallPurpose.REQUESTS_WAIT : RunStatistics.CallPurpose.BACKGROUND;
-        fleet.figures.counterCalled(number, call.amount == 0 ? RunStatistics.CallPurpose.READ : waitPurpose, now());
+        fleet.statistics.counterCalled(number, call.amount == 0 ? RunStatistics.CallPurpose.READ : waitPurpose, now());
         if (fleet.counter == null || openCalls >= MAX_OPEN_CALLS) {
             fleet.queue.scheduleAfter(0, () -> counterCallEnded(call.name, Outcome.CONNECT_FAILED, 0));
             return;
         }
         openCalls++;
-        fleet.call(this, call.name, call.amount, call.lifetimeMs, fleet.options.counterTimeoutMs, (outcome, total) -> {
-            fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? STUCK_CONNECTION_MS : 0, () -> openCalls--);
-            counterCallEnded(call.name, outcome, total);
-        });
+        fleet.callCounter(
+                this, call.name, call.amount, call.lifetimeMs, fleet.options.counterTimeoutMs, (outcome, total) -> {
+                    fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? STUCK_CONNECTION_MS : 0, () -> openCalls--);
+                    counterCallEnded(call.name, outcome, total);
+                });
     }
 
     private void counterCallEnded(String name, Outcome outcome, double total) {
-        fleet.figures.counterCallEnded(outcome, now());
+        fleet.statistics.counterCallEnded(outcome, now());
         deliver(EventKind.COUNTER_RESULT, null, () -> module.counterCallEnded(now(), name, outcome, total));
     }
 
