--- a/src/main/java/deckfall/scale/Fault.java
+++ b/src/main/java/deckfall/scale/Fault.java
@@ -4,9 +4,9 @@
 import picocli.CommandLine.TypeConversionException;
 
 /** One fault of a schedule: when after the warm-up, what, for how long, and how much of it. */
-record Fault(double atSeconds, Kind kind, double lengthSeconds, double size) {
-    private static final double MOST_SECONDS = 100_000;
-    private static final double MOST = 1e6;
+record Fault(double atSeconds, Kind kind, double durationSeconds, double size) {
+    private static final double MAX_SECONDS = 100_000;
+    private static final double MAX_SIZE = 1e6;
 
     /** What may go wrong, and the size where none is given: servers, gateways, racks, a zone, or times as slow. */
     enum Kind {
@@ -24,13 +24,13 @@
         DISCOVERY_DOWN(0),
         RELEASE(10);
 
-        private final double usual;
+        private final double defaultSize;
 
-        Kind(double usual) {
-            this.usual = usual;
+        Kind(double defaultSize) {
+            this.defaultSize = defaultSize;
         }
 
-        String text() {
+        String optionValue() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
     }
@@ -39,8 +39,8 @@
         return 1000 * atSeconds;
     }
 
-    double lengthMs() {
-        return 1000 * lengthSeconds;
+    double durationMs() {
+        return 1000 * durationSeconds;
     }
 
     int count() {
@@ -50,44 +50,44 @@
     /** As in the arguments, so that a line of results can be repeated. */
     @Override
     public String toString() {
-        return atSeconds + ":" + kind.text() + ":" + lengthSeconds + ":" + size;
+        return atSeconds + ":" + kind.optionValue() + ":" + durationSeconds + ":" + size;
     }
 
     /** Reads AT:KIND:LENGTH[:SIZE]. */
-    static final class Reader implements ITypeConverter<Fault> {
+    static final class Converter implements ITypeConverter<Fault> {
         @Override
         public Fault convert(String text) {
             String[] parts = text.split(":", -1);
             if (parts.length < 3 || parts.length > 4) {
                 throw new TypeConversionException("'" + text + "' is not AT:KIND:LENGTH[:SIZE]");
             }
-            Kind kind = kind(parts[1]);
+            Kind kind = parseKind(parts[1]);
             return new Fault(
-                    number(parts[0], MOST_SECONDS),
+                    parseNumber(parts[0], MAX_SECONDS),
                     kind,
-                    number(parts[2], MOST_SECONDS),
-                    parts.length == 4 ? number(parts[3], MOST) : kind.usual);
+                    parseNumber(parts[2], MAX_SECONDS),
+                    parts.length == 4 ? parseNumber(parts[3], MAX_SIZE) : kind.defaultSize);
         }
 
-        private static Kind kind(String text) {
+        private static Kind parseKind(String text) {
             for (Kind kind : Kind.values()) {
-                if (kind.text().equals(text)) {
+                if (kind.optionValue().equals(text)) {
                     return kind;
                 }
             }
             throw new TypeConversionException("no fault is called '" + text + "'");
         }
 
-        private static double number(String text, double most) {
+        private static double parseNumber(String text, double max) {
             try {
                 double number = Double.parseDouble(text);
-                if (number >= 0 && number <= most) {
+                if (number >= 0 && number <= max) {
                     return number;
                 }
             } catch (NumberFormatException e) {
                 // said below
             }
-            throw new TypeConversionException("'" + text + "' is no number from 0 to " + (long) most);
+            throw new TypeConversionException("'" + text + "' is no number from 0 to " + (long) max);
         }
     }
 }
--- a/src/main/java/deckfall/scale/HollowOptions.java
+++ b/src/main/java/deckfall/scale/HollowOptions.java
@@ -150,7 +150,7 @@
     @Option(
             names = "--fault",
             paramLabel = "AT:KIND:LENGTH[:SIZE]",
-            converter = Fault.Reader.class,
+            converter = Fault.Converter.class,
             description = "seconds after the warm-up, kind, seconds, size; may be given again")
     List<Fault> faults = new ArrayList<>();
 
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/HollowRun.java
@@ -43,7 +43,7 @@
         fleet = played;
         runTo(HollowOptions.START_MS);
         fleet.startClients(options.endMs());
-        new FaultSchedule(fleet).place(options.faults, options.warmUpMs());
+        new FaultInjector(fleet).schedule(options.faults, options.warmUpMs());
         runTo(options.warmUpMs());
         double loaded = coresUntil(options.endMs());
         runTo(options.endMs() + options.deadlineMs + SETTLE_MS);
