--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -51,8 +51,8 @@
         return new Plan(name, rate, rate * burstSeconds, 0, valueFactor, 0, excessCost, 0, 0, 0);
     }
 
-    Customers(HollowOptions options) {
-        int count = options.tenants;
+    Customers(SimulationOptions options) {
+        int count = options.customers;
         spread = Math.min(options.spread, options.gateways);
         double targetRate = options.requestsPerSecond * (1 + options.maxUnits) / 2.0 / count / MEAN_LOAD_SHARE;
         double rateExponent = findRateExponent(targetRate);
@@ -62,7 +62,7 @@
                     plan.name(),
                     plan.rate() * rateFactor,
                     plan.burst() * rateFactor,
-                    options.openLimit,
+                    options.maxOpenAttempts,
                     plan.valueFactor(),
                     plan.excessWorth(),
                     plan.excessCost(),
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -26,7 +26,7 @@
     private static final int SERVERS_PER_RACK = 20; // servers of one zone
 
     final EventQueue queue = new EventQueue();
-    final HollowOptions options;
+    final SimulationOptions options;
     final Customers customers;
     final QuotaAccounting quotas;
     final RunStatistics statistics;
@@ -45,22 +45,22 @@
     private long endedProcessesNanos;
 
     /** With some gateways that are not hollow, which whoever makes it puts into the first places, and some hollow. */
-    Fleet(HollowOptions options, int realGateways, int simulatedGateways) {
+    Fleet(SimulationOptions options, int realGateways, int simulatedGateways) {
         this.options = options;
         customers = new Customers(options);
         statistics = new RunStatistics(options);
         quotas = new QuotaAccounting(customers, statistics.perSecond);
-        topology = new NetworkTopology(options.zones, options.regions, options.nearMs, options.regionMs);
+        topology = new NetworkTopology(options.zones, options.regions, options.zoneLatencyMs, options.regionLatencyMs);
         discovery = new SimulatedDiscovery(queue, options);
-        counter = options.counterRate <= 0
+        counter = options.counterCallsPerSecond <= 0
                 ? null
                 : new SimulatedCounter(
                         queue,
-                        options.counterRate,
-                        options.counterParts,
-                        options.counterMs,
-                        options.counterLine * options.counterTimeoutMs);
-        meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterLateMs);
+                        options.counterCallsPerSecond,
+                        options.counterShards,
+                        options.counterRoundTripMs,
+                        options.maxCounterQueueTimeouts * options.counterTimeoutMs);
+        meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterDelayMs);
         clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
         loadBalancer = new SimulatedLoadBalancer(this);
@@ -81,8 +81,8 @@
         }
         for (int gateway = realGateways; gateway < realGateways + simulatedGateways; gateway++) {
             int number = gateway; // none in step with another: their beats would meet at the counter
-            double startAtMs =
-                    HashRandom.uniformBetween(0, HollowOptions.START_MS, HashRandom.mix(options.seed, number), -1);
+            double startAtMs = HashRandom.uniformBetween(
+                    0, SimulationOptions.STARTUP_MS, HashRandom.mix(options.seed, number), -1);
             queue.scheduleAt(startAtMs, () -> startGateway(number));
         }
     }
@@ -112,7 +112,7 @@
 
     Settings settings(int number, String zone) {
         List<Plan> plans = admissionPolicy.replacesGatewayQuotas() ? customers.plansWithoutQuotas() : customers.plans();
-        boolean metered = options.meterLateMs > 0;
+        boolean metered = options.meterDelayMs > 0;
         return new Settings(
                 HashRandom.mix(options.seed, number),
                 number,
@@ -123,7 +123,7 @@
                 plans,
                 List.of(),
                 new Limits(MAX_ATTEMPTS, false, true, false, false, true, MAX_RETRY_AFTER_MS, CONNECT_TIMEOUT_MS),
-                new Rules(8, 500, 2, 1000, options.coldFrom, options.warmMs, 0),
+                new Rules(8, 500, 2, 1000, options.coldCapacity, options.serverWarmUpMs, 0),
                 new Coordination(
                         counter != null,
                         0.01,
--- a/src/main/java/deckfall/scale/RealOptions.java
+++ b/src/main/java/deckfall/scale/RealOptions.java
@@ -15,7 +15,7 @@
         description = "A few real gateways beside hollow ones, against the same stand-ins on sockets.",
         sortOptions = false,
         mixinStandardHelpOptions = true)
-final class RealOptions extends HollowOptions {
+final class RealOptions extends SimulationOptions {
     private static final double USED = 0.05; // of the slots
     private static final int MOST_PROCESSES = 200;
     private static final double MEGABYTES_EACH = 160;
@@ -57,19 +57,19 @@
     @Override
     void check() {
         super.check();
-        within("--processes", processes, 1, Math.min(MOST_PROCESSES, gateways));
-        within("--seconds", seconds + warmUpSeconds + idleSeconds, 1, MOST_SECONDS);
-        within("--hollow", hollow, -1, gateways - processes);
-        within("--settle-seconds", settleSeconds, 0, MOST_SECONDS);
+        requireInRange("--processes", processes, 1, Math.min(MOST_PROCESSES, gateways));
+        requireInRange("--seconds", seconds + warmUpSeconds + idleSeconds, 1, MOST_SECONDS);
+        requireInRange("--hollow", hollow, -1, gateways - processes);
+        requireInRange("--settle-seconds", settleSeconds, 0, MOST_SECONDS);
         double half = totalMegabytes() / 2;
         if (processes * MEGABYTES_EACH + MEGABYTES_ASIDE > half) {
-            throw bad("--processes: " + processes + " may need more than half of this machine's memory");
+            throw usageError("--processes: " + processes + " may need more than half of this machine's memory");
         }
         if (!faults.isEmpty()) {
-            throw bad("--fault: only in a hollow run");
+            throw usageError("--fault: only in a hollow run");
         }
-        if (counterRate <= 0) {
-            throw bad("--counter-rate: a real gateway needs a counter");
+        if (counterCallsPerSecond <= 0) {
+            throw usageError("--counter-rate: a real gateway needs a counter");
         }
         if (run == null) {
             run = deployed();
@@ -88,9 +88,9 @@
             if (m.find()) {
                 return m.group(1).replaceAll("\\\\(.)", "$1");
             }
-            throw bad("--deploy: '" + deploy + "' names no run");
+            throw usageError("--deploy: '" + deploy + "' names no run");
         } catch (IOException e) {
-            throw bad("--deploy: can't read '" + deploy + "'");
+            throw usageError("--deploy: can't read '" + deploy + "'");
         }
     }
 
@@ -108,16 +108,16 @@
     /** A line at a server would show as time added: there is to be none. */
     @Override
     int slots() {
-        return slots > 0 ? slots : slotsFor(USED);
+        return slots > 0 ? slots : slotsForUtilization(USED);
     }
 
     /** The time without load comes first here, while the processes are fresh. */
     @Override
-    double warmUpMs() {
+    double measuredFromMs() {
         return loadMs() + 1000 * warmUpSeconds;
     }
 
     double loadMs() {
-        return START_MS + 1000 * idleSeconds;
+        return STARTUP_MS + 1000 * idleSeconds;
     }
 }
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -153,7 +153,7 @@
             gateways.add(gateway);
             fleet.discovery.watch(number, agent);
             fleet.queue.runUntil(
-                    HollowOptions.START_MS); // the hollow ones start; the clock then waits for the real ones
+                    SimulationOptions.STARTUP_MS); // the hollow ones start; the clock then waits for the real ones
             return agent.knownHostsAsJson();
         });
         InetSocketAddress discovery = LoopbackListeners.open(group, () -> with(traffic, http(agent)));
@@ -296,16 +296,16 @@
         awaitClock(options.loadMs());
         List<Sample> idle = samples();
         onLoop(() -> {
-            fleet.startClients(options.endMs());
+            fleet.startClients(options.measuredUntilMs());
             return null;
         });
-        awaitClock(options.warmUpMs());
+        awaitClock(options.measuredFromMs());
         onLoop(pace::takeMaxLagMs);
         List<Sample> from = samples();
-        awaitClock(options.endMs());
+        awaitClock(options.measuredUntilMs());
         List<Sample> to = samples();
         double late = onLoop(pace::takeMaxLagMs);
-        awaitClock(options.endMs() + options.deadlineMs + DRAIN_MS);
+        awaitClock(options.measuredUntilMs() + options.deadlineMs + DRAIN_MS);
         told("idle", before, idle, options.idleSeconds);
         told("loaded", from, to, options.seconds);
         double resident =
@@ -336,7 +336,7 @@
             Thread.sleep(LOOK_MS);
             if (System.nanoTime() - told > TimeUnit.SECONDS.toNanos(5)) {
                 told = System.nanoTime();
-                progress.printf("scale: at %.1f of %.1f s%n", pace.now() / 1000, options.endMs() / 1000);
+                progress.printf("scale: at %.1f of %.1f s%n", pace.now() / 1000, options.measuredUntilMs() / 1000);
             }
         }
     }
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -18,13 +18,13 @@
 final class Report {
     private static final int FAILED = 1;
 
-    private final HollowOptions options;
+    private final SimulationOptions options;
     private final String run;
     private final Fleet fleet;
     private final Map<String, Object> figures = new LinkedHashMap<>();
     private final Map<String, Object> costs;
 
-    Report(HollowOptions options, String run, Fleet fleet, Map<String, Object> costs) {
+    Report(SimulationOptions options, String run, Fleet fleet, Map<String, Object> costs) {
         this.options = options;
         this.run = run;
         this.fleet = fleet;
@@ -134,7 +134,7 @@
     int write(PrintStream out) {
         table(out, run.equals("hollow") ? "figures, by the seed alone" : "figures of the fleet", figures);
         table(out, "costs, of this machine", costs);
-        return options.json == null ? 0 : append();
+        return options.jsonFile == null ? 0 : append();
     }
 
     private static void table(PrintStream out, String title, Map<String, Object> rows) {
@@ -154,14 +154,14 @@
         try {
             String text = new ObjectMapper().writeValueAsString(line) + '\n';
             Files.writeString(
-                    options.json.toPath(),
+                    options.jsonFile.toPath(),
                     text,
                     StandardCharsets.UTF_8,
                     StandardOpenOption.CREATE,
                     StandardOpenOption.APPEND);
             return 0;
         } catch (IOException e) {
-            System.err.println("scale: can't write '" + options.json + "': " + e.getMessage());
+            System.err.println("scale: can't write '" + options.jsonFile + "': " + e.getMessage());
             return FAILED;
         }
     }
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -27,7 +27,7 @@
     private static final long MAX_DISPATCH_DELAY_US = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final HollowOptions options;
+    private final SimulationOptions options;
     final Map<RequestOutcome, Long> outcomes = new EnumMap<>(RequestOutcome.class);
     final Map<CallPurpose, Long> callsByPurpose = new EnumMap<>(CallPurpose.class);
     final Map<Outcome, Long> callOutcomes = new EnumMap<>(Outcome.class);
@@ -46,9 +46,9 @@
     private final BitSet[] usedServers;
     private final BitSet[] usedServersBefore;
 
-    RunStatistics(HollowOptions options) {
+    RunStatistics(SimulationOptions options) {
         this.options = options;
-        perSecond = new PerSecondTotals(options.warmUpMs(), (int) Math.ceil(options.seconds));
+        perSecond = new PerSecondTotals(options.measuredFromMs(), (int) Math.ceil(options.seconds));
         gatewayCallsInSecond = new int[options.gateways];
         gatewaySecond = new long[options.gateways];
         usedServers = new BitSet[options.gateways];
@@ -60,7 +60,7 @@
     }
 
     private boolean isMeasured(double nowMs) {
-        return nowMs >= options.warmUpMs() && nowMs < options.endMs();
+        return nowMs >= options.measuredFromMs() && nowMs < options.measuredUntilMs();
     }
 
     private static <K> void increment(Map<K, Long> counts, K key) {
@@ -106,7 +106,7 @@
             return;
         }
         increment(callsByPurpose, purpose);
-        long second = (long) ((nowMs - options.warmUpMs()) / 1000);
+        long second = (long) ((nowMs - options.measuredFromMs()) / 1000);
         perSecond.add(PerSecondTotals.Metric.CALLS, nowMs, 1);
         gatewayCallsInSecond[gateway] = gatewaySecond[gateway] == second ? gatewayCallsInSecond[gateway] + 1 : 1;
         gatewaySecond[gateway] = second;
--- a/src/main/java/deckfall/scale/ScaleCommand.java
+++ b/src/main/java/deckfall/scale/ScaleCommand.java
@@ -15,7 +15,7 @@
         name = "scale",
         description = "Runs of the gateways at a fleet's size.",
         mixinStandardHelpOptions = true,
-        subcommands = {HollowOptions.class, RealOptions.class})
+        subcommands = {SimulationOptions.class, RealOptions.class})
 public final class ScaleCommand implements Runnable {
     private static final int EXIT_USAGE = 2;
 
--- a/src/main/java/deckfall/scale/SimulatedClients.java
+++ b/src/main/java/deckfall/scale/SimulatedClients.java
@@ -21,7 +21,7 @@
     static final int MAX_RETRIES = 3;
 
     private final EventQueue queue;
-    private final HollowOptions options;
+    private final SimulationOptions options;
     private final Customers customers;
     private final Consumer<ClientRequest> requestConsumer;
     private final double meanUnitsPerRequest;
@@ -35,7 +35,7 @@
     private double endMs = Double.POSITIVE_INFINITY;
 
     SimulatedClients(
-            EventQueue queue, HollowOptions options, Customers customers, Consumer<ClientRequest> requestConsumer) {
+            EventQueue queue, SimulationOptions options, Customers customers, Consumer<ClientRequest> requestConsumer) {
         this.queue = queue;
         this.options = options;
         this.customers = customers;
@@ -117,7 +117,7 @@
                 retryNumber,
                 nowMs,
                 nowMs + options.deadlineMs,
-                nowMs >= options.warmUpMs());
+                nowMs >= options.measuredFromMs());
         request.gateway = gateway;
         requestConsumer.accept(request);
     }
--- a/src/main/java/deckfall/scale/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -24,14 +24,14 @@
     }
 
     private final EventQueue queue;
-    private final HollowOptions options;
+    private final SimulationOptions options;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final List<List<Host>> changes = new ArrayList<>(); // by version
     private final Agent[] agents;
     private final boolean[] unreachable;
     private long listsDelivered;
 
-    SimulatedDiscovery(EventQueue queue, HollowOptions options) {
+    SimulatedDiscovery(EventQueue queue, SimulationOptions options) {
         this.queue = queue;
         this.options = options;
         agents = new Agent[options.gateways];
@@ -73,7 +73,7 @@
             return;
         }
         double delayMs =
-                HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.discoveryMs;
+                HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.maxDiscoveryDelayMs;
         agent.nextDeliveryMs = Math.max(agent.nextDeliveryMs, queue.now() + delayMs);
         queue.scheduleAt(agent.nextDeliveryMs, () -> deliver(gateway, agent));
     }
--- a/src/main/java/deckfall/scale/SimulatedServer.java
+++ b/src/main/java/deckfall/scale/SimulatedServer.java
@@ -29,14 +29,14 @@
     final int zone;
     final int cell;
     private final EventQueue queue;
-    private final HollowOptions options;
+    private final SimulationOptions options;
     private final ArrayDeque<Work> queuedWork = new ArrayDeque<>();
     private final List<Work> activeWork = new ArrayList<>(2);
     private State state = State.SERVING;
     private double startedMs;
     private int generation;
 
-    SimulatedServer(EventQueue queue, HollowOptions options, int index, int zone, int cell, double startedMs) {
+    SimulatedServer(EventQueue queue, SimulationOptions options, int index, int zone, int cell, double startedMs) {
         this.queue = queue;
         this.options = options;
         this.index = index;
@@ -108,7 +108,7 @@
             onEnd.accept(Outcome.FULL);
         } else if (activeWork.size() < options.slots()) {
             startWork(work);
-        } else if (queuedWork.size() < options.slots() * options.queueSlots) {
+        } else if (queuedWork.size() < options.slots() * options.queueSlotsFactor) {
             queuedWork.add(work);
         } else {
             onEnd.accept(Outcome.FULL);
@@ -129,8 +129,8 @@
     }
 
     private double capacity() {
-        double warmShare = startedMs <= 0 ? 1 : Math.min(1, (queue.now() - startedMs) / options.warmMs);
-        return options.coldFrom + (1 - options.coldFrom) * warmShare;
+        double warmShare = startedMs <= 0 ? 1 : Math.min(1, (queue.now() - startedMs) / options.serverWarmUpMs);
+        return options.coldCapacity + (1 - options.coldCapacity) * warmShare;
     }
 
     private void finishWork(Work work) {
--- a/src/main/java/deckfall/scale/HollowOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -19,16 +19,16 @@
         description = "The decision module of a whole fleet on one clock, against stand-ins.",
         sortOptions = false,
         mixinStandardHelpOptions = true)
-class HollowOptions implements Callable<Integer> {
-    static final double START_MS = 1000; // in which the gateways start, each at a moment of its own
-    private static final double USED = 0.5; // of the servers' slots, where these are not given
-    private static final int MOST_GATEWAYS = 10_000;
-    private static final int MOST_SERVERS = 100_000;
-    private static final int MOST_CLASSES = 100_000;
-    private static final int MOST_TENANTS = 10_000_000;
-    private static final double MOST_RATE = 1e7;
-    private static final double MOST_SECONDS = 100_000;
-    private static final double MOST_MS = 600_000;
+class SimulationOptions implements Callable<Integer> {
+    static final double STARTUP_MS = 1000; // in which the gateways start, each at a moment of its own
+    private static final double TARGET_UTILIZATION = 0.5; // of the servers' slots, where these are not given
+    private static final int MAX_GATEWAYS = 10_000;
+    private static final int MAX_SERVERS = 100_000;
+    private static final int MAX_CLASSES = 100_000;
+    private static final int MAX_CUSTOMERS = 10_000_000;
+    private static final double MAX_RATE = 1e7;
+    private static final double MAX_SECONDS = 100_000;
+    private static final double MAX_MS = 600_000;
 
     @Spec
     private CommandSpec spec;
@@ -49,7 +49,7 @@
     int classes;
 
     @Option(names = "--tenants", defaultValue = "6300", description = "customers (${DEFAULT-VALUE})")
-    int tenants;
+    int customers;
 
     @Option(names = "--spread", defaultValue = "3", description = "gateways of a customer's set (${DEFAULT-VALUE})")
     int spread;
@@ -79,13 +79,13 @@
     int slots;
 
     @Option(names = "--queue-slots", defaultValue = "4", description = "its line, times its slots (${DEFAULT-VALUE})")
-    double queueSlots;
+    double queueSlotsFactor;
 
     @Option(names = "--cold-from", defaultValue = "0.3", description = "capacity at its start (${DEFAULT-VALUE})")
-    double coldFrom;
+    double coldCapacity;
 
     @Option(names = "--warm-ms", defaultValue = "10000", description = "until it is warm (${DEFAULT-VALUE})")
-    double warmMs;
+    double serverWarmUpMs;
 
     @Option(names = "--goal-ms", defaultValue = "300", description = "time a request aims at (${DEFAULT-VALUE})")
     double goalMs;
@@ -97,7 +97,7 @@
     int maxUnits;
 
     @Option(names = "--open-limit", defaultValue = "0", description = "a customer's attempts out (${DEFAULT-VALUE})")
-    int openLimit;
+    int maxOpenAttempts;
 
     @Option(names = "--retries", defaultValue = "2", description = "further tries of a client (${DEFAULT-VALUE})")
     int retries;
@@ -106,46 +106,46 @@
     double retryShare;
 
     @Option(names = "--near-ms", defaultValue = "0.25", description = "one way in a zone (${DEFAULT-VALUE})")
-    double nearMs;
+    double zoneLatencyMs;
 
     @Option(names = "--region-ms", defaultValue = "15", description = "one way between regions (${DEFAULT-VALUE})")
-    double regionMs;
+    double regionLatencyMs;
 
     @Option(names = "--discovery-ms", defaultValue = "1000", description = "longest delay (${DEFAULT-VALUE})")
-    double discoveryMs;
+    double maxDiscoveryDelayMs;
 
     @Option(
             names = "--counter-rate",
             defaultValue = "1100",
             description = "calls a second in all; 0: no counter (${DEFAULT-VALUE})")
-    double counterRate;
+    double counterCallsPerSecond;
 
     @Option(names = "--counter-parts", defaultValue = "1", description = "parts of it (${DEFAULT-VALUE})")
-    int counterParts;
+    int counterShards;
 
     @Option(names = "--counter-ms", defaultValue = "1", description = "there and back (${DEFAULT-VALUE})")
-    double counterMs;
+    double counterRoundTripMs;
 
     @Option(names = "--counter-timeout-ms", defaultValue = "50", description = "of a call (${DEFAULT-VALUE})")
     double counterTimeoutMs;
 
     @Option(names = "--counter-line", defaultValue = "1", description = "longest, in time-outs (${DEFAULT-VALUE})")
-    double counterLine;
+    double maxCounterQueueTimeouts;
 
     @Option(names = "--meter-period-ms", defaultValue = "1000", description = "of the meter (${DEFAULT-VALUE})")
     double meterPeriodMs;
 
     @Option(names = "--meter-late-ms", defaultValue = "350", description = "0: no meter (${DEFAULT-VALUE})")
-    double meterLateMs;
+    double meterDelayMs;
 
     @Option(names = "--references", description = "play the reference policies on the same seed as well")
-    boolean references;
+    boolean withReferences;
 
     @Option(
             names = "--seen-late-ms",
             defaultValue = "500",
             description = "age of the stores that the late-seeing reference knows (${DEFAULT-VALUE})")
-    double seenLateMs;
+    double referenceDelayMs;
 
     @Option(
             names = "--fault",
@@ -155,7 +155,7 @@
     List<Fault> faults = new ArrayList<>();
 
     @Option(names = "--json", paramLabel = "FILE", description = "a line of results is added to it")
-    File json;
+    File jsonFile;
 
     @Override
     public Integer call() {
@@ -165,104 +165,107 @@
 
     /** Plays the module and, where they are wanted, the reference policies. */
     Report report(PrintStream progress) {
-        HollowRun.Result result = new HollowRun(this, progress).play();
+        SimulationRun.Result result = new SimulationRun(this, progress).run();
         Report report = new Report(this, "hollow", result.fleet(), result.costs());
-        if (references) {
+        if (withReferences) {
             report.addReference(
                     "late_seeing",
-                    new HollowRun(this, progress).playReference(seenLateMs).fleet());
+                    new SimulationRun(this, progress)
+                            .runReference(referenceDelayMs)
+                            .fleet());
             report.addReference(
-                    "all_seeing", new HollowRun(this, progress).playReference(0).fleet());
+                    "all_seeing",
+                    new SimulationRun(this, progress).runReference(0).fleet());
         }
         return report;
     }
 
     void check() {
-        within("--gateways", gateways, 1, MOST_GATEWAYS);
-        within("--servers", servers, 1, MOST_SERVERS);
-        within("--zones", zones, 1, Math.min(gateways, servers));
-        within("--regions", regions, 1, zones);
-        within("--classes", classes, 1, MOST_CLASSES);
-        within("--tenants", tenants, 1, MOST_TENANTS);
-        within("--spread", spread, 1, gateways);
-        within("--rps", requestsPerSecond, 1e-3, MOST_RATE);
-        within("--seconds", seconds, 1, MOST_SECONDS);
-        within("--warm-up-seconds", warmUpSeconds, 0, MOST_SECONDS);
-        within("--idle-seconds", idleSeconds, 0, MOST_SECONDS);
-        within("--service-ms", serviceMs, 1e-3, MOST_MS);
-        within("--slots", slots, 0, MOST_SERVERS);
-        within("--queue-slots", queueSlots, 0, MOST_SERVERS);
-        within("--cold-from", coldFrom, 0.01, 1);
-        within("--warm-ms", warmMs, 1, MOST_MS);
-        within("--goal-ms", goalMs, 1, MOST_MS);
-        within("--deadline-ms", deadlineMs, goalMs, MOST_MS);
-        within("--max-units", maxUnits, 1, MOST_CLASSES);
-        within("--open-limit", openLimit, 0, MOST_CLASSES);
-        within("--retries", retries, 0, SimulatedClients.MAX_RETRIES);
-        within("--retry-share", retryShare, 0, 1);
-        within("--near-ms", nearMs, 0, MOST_MS);
-        within("--region-ms", regionMs, 0, MOST_MS);
-        within("--discovery-ms", discoveryMs, 0, MOST_MS);
-        within("--counter-rate", counterRate, 0, MOST_RATE);
-        within("--counter-parts", counterParts, 1, MOST_CLASSES);
-        within("--counter-ms", counterMs, 0, MOST_MS);
-        within("--counter-timeout-ms", counterTimeoutMs, 1, MOST_MS);
-        within("--counter-line", counterLine, 0, MOST_SECONDS);
-        within("--meter-period-ms", meterPeriodMs, 1, MOST_MS);
-        within("--meter-late-ms", meterLateMs, 0, MOST_MS);
-        within("--seen-late-ms", seenLateMs, 0, MOST_MS);
-        if (regions == 1 && faults.stream().anyMatch(f -> f.kind() == Fault.Kind.REGION_CUT)) {
-            throw bad("--fault: region-cut needs --regions 2 or more");
+        requireInRange("--gateways", gateways, 1, MAX_GATEWAYS);
+        requireInRange("--servers", servers, 1, MAX_SERVERS);
+        requireInRange("--zones", zones, 1, Math.min(gateways, servers));
+        requireInRange("--regions", regions, 1, zones);
+        requireInRange("--classes", classes, 1, MAX_CLASSES);
+        requireInRange("--tenants", customers, 1, MAX_CUSTOMERS);
+        requireInRange("--spread", spread, 1, gateways);
+        requireInRange("--rps", requestsPerSecond, 1e-3, MAX_RATE);
+        requireInRange("--seconds", seconds, 1, MAX_SECONDS);
+        requireInRange("--warm-up-seconds", warmUpSeconds, 0, MAX_SECONDS);
+        requireInRange("--idle-seconds", idleSeconds, 0, MAX_SECONDS);
+        requireInRange("--service-ms", serviceMs, 1e-3, MAX_MS);
+        requireInRange("--slots", slots, 0, MAX_SERVERS);
+        requireInRange("--queue-slots", queueSlotsFactor, 0, MAX_SERVERS);
+        requireInRange("--cold-from", coldCapacity, 0.01, 1);
+        requireInRange("--warm-ms", serverWarmUpMs, 1, MAX_MS);
+        requireInRange("--goal-ms", goalMs, 1, MAX_MS);
+        requireInRange("--deadline-ms", deadlineMs, goalMs, MAX_MS);
+        requireInRange("--max-units", maxUnits, 1, MAX_CLASSES);
+        requireInRange("--open-limit", maxOpenAttempts, 0, MAX_CLASSES);
+        requireInRange("--retries", retries, 0, SimulatedClients.MAX_RETRIES);
+        requireInRange("--retry-share", retryShare, 0, 1);
+        requireInRange("--near-ms", zoneLatencyMs, 0, MAX_MS);
+        requireInRange("--region-ms", regionLatencyMs, 0, MAX_MS);
+        requireInRange("--discovery-ms", maxDiscoveryDelayMs, 0, MAX_MS);
+        requireInRange("--counter-rate", counterCallsPerSecond, 0, MAX_RATE);
+        requireInRange("--counter-parts", counterShards, 1, MAX_CLASSES);
+        requireInRange("--counter-ms", counterRoundTripMs, 0, MAX_MS);
+        requireInRange("--counter-timeout-ms", counterTimeoutMs, 1, MAX_MS);
+        requireInRange("--counter-line", maxCounterQueueTimeouts, 0, MAX_SECONDS);
+        requireInRange("--meter-period-ms", meterPeriodMs, 1, MAX_MS);
+        requireInRange("--meter-late-ms", meterDelayMs, 0, MAX_MS);
+        requireInRange("--seen-late-ms", referenceDelayMs, 0, MAX_MS);
+        if (regions == 1 && faults.stream().anyMatch(fault -> fault.kind() == Fault.Kind.REGION_CUT)) {
+            throw usageError("--fault: region-cut needs --regions 2 or more");
         }
-        if (json != null
-                && (json.isDirectory()
-                        || json.exists() && !json.canWrite()
-                        || !json.getAbsoluteFile().getParentFile().isDirectory())) {
-            throw bad("--json: can't write '" + json + "'");
+        if (jsonFile != null
+                && (jsonFile.isDirectory()
+                        || jsonFile.exists() && !jsonFile.canWrite()
+                        || !jsonFile.getAbsoluteFile().getParentFile().isDirectory())) {
+            throw usageError("--json: can't write '" + jsonFile + "'");
         }
     }
 
-    final void within(String name, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            throw bad(name + ": " + text(value) + " is not from " + text(least) + " to " + text(most));
+    final void requireInRange(String name, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw usageError(name + ": " + format(value) + " is not from " + format(min) + " to " + format(max));
         }
     }
 
-    private static String text(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    final ParameterException bad(String message) {
+    final ParameterException usageError(String message) {
         return new ParameterException(spec.commandLine(), message);
     }
 
-    double warmUpMs() {
-        return START_MS + 1000 * warmUpSeconds;
+    double measuredFromMs() {
+        return STARTUP_MS + 1000 * warmUpSeconds;
     }
 
-    double endMs() {
-        return warmUpMs() + 1000 * seconds;
+    double measuredUntilMs() {
+        return measuredFromMs() + 1000 * seconds;
     }
 
     /** Requests in work at a server. */
     int slots() {
-        return slots > 0 ? slots : slotsFor(USED);
+        return slots > 0 ? slots : slotsForUtilization(TARGET_UTILIZATION);
     }
 
     /** As many as leave such a share of them in use. */
-    final int slotsFor(double used) {
-        return (int) Math.ceil(requestsPerSecond * serviceMs / 1000 / servers / used);
+    final int slotsForUtilization(double utilization) {
+        return (int) Math.ceil(requestsPerSecond * serviceMs / 1000 / servers / utilization);
     }
 
     /** Each argument with its value. */
     Map<String, Object> arguments() {
-        Map<String, Object> all = new LinkedHashMap<>();
+        Map<String, Object> arguments = new LinkedHashMap<>();
         spec.options().stream()
-                .filter(o -> !o.usageHelp() && !o.versionHelp() && o.getValue() != null)
-                .forEach(o -> all.put(o.longestName().substring(2), o.getValue()));
-        all.put("fault", faults.stream().map(Fault::toString).toList());
-        return all;
+                .filter(option -> !option.usageHelp() && !option.versionHelp() && option.getValue() != null)
+                .forEach(option -> arguments.put(option.longestName().substring(2), option.getValue()));
+        arguments.put("fault", faults.stream().map(Fault::toString).toList());
+        return arguments;
     }
 }
--- a/src/main/java/deckfall/scale/HollowRun.java
+++ b/src/main/java/deckfall/scale/SimulationRun.java
@@ -7,55 +7,55 @@
 import java.util.Map;
 
 /** Plays a run: load to warm up, the measured time, the answers still due, and a while without load. */
-final class HollowRun {
-    private static final double STEP_MS = 100; // of the clock, between looks at the progress
+final class SimulationRun {
+    private static final double CLOCK_STEP_MS = 100; // of the clock, between looks at the progress
     private static final double SETTLE_MS = 2000; // after the last deadline, before the time without load
-    private static final double MEGABYTE = 1 << 20;
-    private static final long PROGRESS_NANOS = 5_000_000_000L;
+    private static final double BYTES_PER_MEGABYTE = 1 << 20;
+    private static final long PROGRESS_INTERVAL_NANOS = 5_000_000_000L;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     /** What came of a run; the costs are those of the machine that it was on and differ from run to run. */
     record Result(Fleet fleet, Map<String, Object> costs) {}
 
-    private final HollowOptions options;
+    private final SimulationOptions options;
     private final PrintStream progress;
     private final long startedNanos = System.nanoTime();
-    private long toldNanos = startedNanos;
+    private long lastProgressNanos = startedNanos;
     private Fleet fleet;
 
-    HollowRun(HollowOptions options, PrintStream progress) {
+    SimulationRun(SimulationOptions options, PrintStream progress) {
         this.options = options;
         this.progress = progress;
     }
 
-    Result play() {
-        return play(new Fleet(options, 0, options.gateways));
+    Result run() {
+        return run(new Fleet(options, 0, options.gateways));
     }
 
     /** The same tries, let in by stores that are known as they were so many milliseconds ago. */
-    Result playReference(double delayMs) {
+    Result runReference(double delayMs) {
         Fleet reference = new Fleet(options, 0, options.gateways);
         reference.setAdmissionPolicy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
-        return play(reference);
+        return run(reference);
     }
 
-    private Result play(Fleet played) {
-        fleet = played;
-        runTo(HollowOptions.START_MS);
-        fleet.startClients(options.endMs());
-        new FaultInjector(fleet).schedule(options.faults, options.warmUpMs());
-        runTo(options.warmUpMs());
-        double loaded = coresUntil(options.endMs());
-        runTo(options.endMs() + options.deadlineMs + SETTLE_MS);
-        double idle = coresUntil(fleet.queue.now() + 1000 * options.idleSeconds);
+    private Result run(Fleet newFleet) {
+        fleet = newFleet;
+        runUntil(SimulationOptions.STARTUP_MS);
+        fleet.startClients(options.measuredUntilMs());
+        new FaultInjector(fleet).schedule(options.faults, options.measuredFromMs());
+        runUntil(options.measuredFromMs());
+        double loadedCores = runAndMeasureCores(options.measuredUntilMs());
+        runUntil(options.measuredUntilMs() + options.deadlineMs + SETTLE_MS);
+        double idleCores = runAndMeasureCores(fleet.queue.now() + 1000 * options.idleSeconds);
         double seconds = (System.nanoTime() - startedNanos) / 1e9;
-        return new Result(fleet, costs(loaded, idle, seconds, memory() / MEGABYTE));
+        return new Result(fleet, costs(loadedCores, idleCores, seconds, usedMemoryBytes() / BYTES_PER_MEGABYTE));
     }
 
-    private Map<String, Object> costs(double loaded, double idle, double seconds, double megabytes) {
+    private Map<String, Object> costs(double loadedCores, double idleCores, double seconds, double megabytes) {
         Map<String, Object> costs = new LinkedHashMap<>();
-        costs.put("cpu_loaded_share_of_core", Report.rounded(loaded));
-        costs.put("cpu_idle_share_of_core", Report.rounded(idle));
+        costs.put("cpu_loaded_share_of_core", Report.rounded(loadedCores));
+        costs.put("cpu_idle_share_of_core", Report.rounded(idleCores));
         costs.put("run_seconds", Report.rounded(seconds));
         costs.put("memory_mb", Report.rounded(megabytes));
         costs.put("memory_mb_per_gateway", Report.rounded(megabytes / options.gateways));
@@ -66,34 +66,35 @@
      * The module's share of a core at a gateway, up to a time. It is timed by the clock on the wall, of which the
      * thread has only a part on a machine that is busy or collects garbage: the same part of all is taken off.
      */
-    private double coresUntil(double endMs) {
-        double from = fleet.queue.now();
-        long busy = fleet.decisionNanos();
-        long wall = System.nanoTime();
-        long processor = THREADS.getCurrentThreadCpuTime();
-        runTo(endMs);
-        double ran = (THREADS.getCurrentThreadCpuTime() - processor) / Math.max(1.0, System.nanoTime() - wall);
-        double ms = Math.max(1, fleet.queue.now() - from) * options.gateways;
-        return (fleet.decisionNanos() - busy) / 1e6 / ms * Math.min(1, ran);
+    private double runAndMeasureCores(double endMs) {
+        double startMs = fleet.queue.now();
+        long startDecisionNanos = fleet.decisionNanos();
+        long startWallNanos = System.nanoTime();
+        long startCpuNanos = THREADS.getCurrentThreadCpuTime();
+        runUntil(endMs);
+        double cpuShare =
+                (THREADS.getCurrentThreadCpuTime() - startCpuNanos) / Math.max(1.0, System.nanoTime() - startWallNanos);
+        double gatewayMs = Math.max(1, fleet.queue.now() - startMs) * options.gateways;
+        return (fleet.decisionNanos() - startDecisionNanos) / 1e6 / gatewayMs * Math.min(1, cpuShare);
     }
 
-    private void runTo(double endMs) {
+    private void runUntil(double endMs) {
         while (fleet.queue.now() < endMs) {
-            fleet.queue.runUntil(Math.min(endMs, fleet.queue.now() + STEP_MS));
+            fleet.queue.runUntil(Math.min(endMs, fleet.queue.now() + CLOCK_STEP_MS));
             long now = System.nanoTime();
-            if (now - toldNanos > PROGRESS_NANOS) {
-                toldNanos = now;
+            if (now - lastProgressNanos > PROGRESS_INTERVAL_NANOS) {
+                lastProgressNanos = now;
                 progress.printf(
                         "scale: at %.1f of %.1f s, %d tries, %.0f s gone%n",
                         fleet.queue.now() / 1000,
-                        options.endMs() / 1000 + options.idleSeconds,
+                        options.measuredUntilMs() / 1000 + options.idleSeconds,
                         fleet.statistics.totalRequests,
                         (now - startedNanos) / 1e9);
             }
         }
     }
 
-    private static long memory() {
+    private static long usedMemoryBytes() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         return runtime.totalMemory() - runtime.freeMemory();
