--- a/src/main/java/deckfall/scale/RealOptions.java
+++ b/src/main/java/deckfall/scale/RealOptions.java
@@ -16,12 +16,13 @@
         sortOptions = false,
         mixinStandardHelpOptions = true)
 final class RealOptions extends SimulationOptions {
-    private static final double USED = 0.05; // of the slots
-    private static final int MOST_PROCESSES = 200;
-    private static final double MEGABYTES_EACH = 160;
-    private static final double MEGABYTES_ASIDE = 1024; // of the run itself
-    private static final int MOST_SECONDS = 3600;
-    private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"\\s*(?:#.*)?$");
+    private static final double TARGET_UTILIZATION = 0.05; // of the slots
+    private static final int MAX_PROCESSES = 200;
+    private static final double MEGABYTES_PER_PROCESS = 160;
+    private static final double MEGABYTES_FOR_RUN = 1024; // of the run itself
+    private static final int MAX_RUN_SECONDS = 3600;
+    private static final Pattern RUN_COMMAND_LINE =
+            Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"\\s*(?:#.*)?$");
 
     @Option(names = "--processes", defaultValue = "2", description = "of the gateways, real ones (${DEFAULT-VALUE})")
     int processes;
@@ -30,7 +31,7 @@
             names = "--hollow",
             defaultValue = "-1",
             description = "gateways that run hollow beside them; the rest is left out with its clients (-1: all)")
-    private int hollow;
+    private int simulatedGateways;
 
     @Option(
             names = "--settle-seconds",
@@ -43,26 +44,26 @@
             defaultValue = "deploy/balancer.toml",
             paramLabel = "FILE",
             description = "says how one is started, from its folder's parent (${DEFAULT-VALUE})")
-    Path deploy;
+    Path deployFile;
 
     @Option(names = "--run", paramLabel = "COMMAND", description = "starts one, in place of the file's")
-    String run;
+    String runCommand;
 
     @Override
     public Integer call() {
         check();
-        return new RealRun(this, System.err).play(System.out);
+        return new RealRun(this, System.err).run(System.out);
     }
 
     @Override
     void check() {
         super.check();
-        requireInRange("--processes", processes, 1, Math.min(MOST_PROCESSES, gateways));
-        requireInRange("--seconds", seconds + warmUpSeconds + idleSeconds, 1, MOST_SECONDS);
-        requireInRange("--hollow", hollow, -1, gateways - processes);
-        requireInRange("--settle-seconds", settleSeconds, 0, MOST_SECONDS);
-        double half = totalMegabytes() / 2;
-        if (processes * MEGABYTES_EACH + MEGABYTES_ASIDE > half) {
+        requireInRange("--processes", processes, 1, Math.min(MAX_PROCESSES, gateways));
+        requireInRange("--seconds", seconds + warmUpSeconds + idleSeconds, 1, MAX_RUN_SECONDS);
+        requireInRange("--hollow", simulatedGateways, -1, gateways - processes);
+        requireInRange("--settle-seconds", settleSeconds, 0, MAX_RUN_SECONDS);
+        double halfOfMemory = totalMegabytes() / 2;
+        if (processes * MEGABYTES_PER_PROCESS + MEGABYTES_FOR_RUN > halfOfMemory) {
             throw usageError("--processes: " + processes + " may need more than half of this machine's memory");
         }
         if (!faults.isEmpty()) {
@@ -71,8 +72,8 @@
         if (counterCallsPerSecond <= 0) {
             throw usageError("--counter-rate: a real gateway needs a counter");
         }
-        if (run == null) {
-            run = deployed();
+        if (runCommand == null) {
+            runCommand = readRunCommand();
         }
     }
 
@@ -82,42 +83,42 @@
                 : Double.MAX_VALUE;
     }
 
-    private String deployed() {
+    private String readRunCommand() {
         try {
-            Matcher m = RUN.matcher(Files.readString(deploy));
-            if (m.find()) {
-                return m.group(1).replaceAll("\\\\(.)", "$1");
+            Matcher matcher = RUN_COMMAND_LINE.matcher(Files.readString(deployFile));
+            if (matcher.find()) {
+                return matcher.group(1).replaceAll("\\\\(.)", "$1");
             }
-            throw usageError("--deploy: '" + deploy + "' names no run");
+            throw usageError("--deploy: '" + deployFile + "' names no run");
         } catch (IOException e) {
-            throw usageError("--deploy: can't read '" + deploy + "'");
+            throw usageError("--deploy: can't read '" + deployFile + "'");
         }
     }
 
-    Path root() {
-        Path folder = deploy.toAbsolutePath().getParent();
-        return run != null && !Files.exists(deploy) || folder.getParent() == null
+    Path workingDirectory() {
+        Path folder = deployFile.toAbsolutePath().getParent();
+        return runCommand != null && !Files.exists(deployFile) || folder.getParent() == null
                 ? Path.of("").toAbsolutePath()
                 : folder.getParent();
     }
 
-    int hollow() {
-        return hollow < 0 ? gateways - processes : hollow;
+    int simulatedGateways() {
+        return simulatedGateways < 0 ? gateways - processes : simulatedGateways;
     }
 
     /** A line at a server would show as time added: there is to be none. */
     @Override
     int slots() {
-        return slots > 0 ? slots : slotsForUtilization(USED);
+        return slots > 0 ? slots : slotsForUtilization(TARGET_UTILIZATION);
     }
 
     /** The time without load comes first here, while the processes are fresh. */
     @Override
     double measuredFromMs() {
-        return loadMs() + 1000 * warmUpSeconds;
+        return loadFromMs() + 1000 * warmUpSeconds;
     }
 
-    double loadMs() {
+    double loadFromMs() {
         return STARTUP_MS + 1000 * idleSeconds;
     }
 }
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -43,32 +43,32 @@
  * time without load, then load to warm up, then the measured time. It ends all that it started.
  */
 final class RealRun {
-    private static final int FAILED = 1;
-    private static final int MOST_BODY = 1 << 20;
-    private static final int LONGEST_LINE = 512;
-    private static final long READY_SECONDS = 60;
-    private static final long LOOK_MS = 20;
+    private static final int EXIT_FAILED = 1;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int MAX_LINE_BYTES = 512;
+    private static final long READY_TIMEOUT_SECONDS = 60;
+    private static final long POLL_INTERVAL_MS = 20;
     private static final double DRAIN_MS = 1000; // after the last deadline
-    private static final int HEALTH_MS = 2000;
-    private static final int OK = 200;
+    private static final int HEALTH_TIMEOUT_MS = 2000;
+    private static final int STATUS_OK = 200;
 
     /** What a real gateway is measured by. */
-    private record Member(RealGateway gateway, GatewayProcess process, ControlTraffic traffic) {}
+    private record MeasuredGateway(RealGateway gateway, GatewayProcess process, ControlTraffic traffic) {}
 
     /** One member at one moment. */
-    private record Sample(double processorSeconds, double residentMegabytes, long bytes, long messages) {}
+    private record Sample(double cpuSeconds, double residentMegabytes, long bytes, long messages) {}
 
     private final RealOptions options;
     private final PrintStream progress;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final PairedLatencies times = new PairedLatencies();
-    private final List<Member> members = new ArrayList<>();
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>(); // of servers
+    private final PairedLatencies latencies = new PairedLatencies();
+    private final List<MeasuredGateway> measuredGateways = new ArrayList<>();
+    private final Map<String, InetSocketAddress> serverAddresses = new HashMap<>(); // of servers
     private final Map<String, Object> costs = new LinkedHashMap<>();
-    private final List<RealGateway> gateways = new ArrayList<>();
-    private Path folder;
+    private final List<RealGateway> realGateways = new ArrayList<>();
+    private Path runFolder;
     private Fleet fleet;
-    private RealTimePacer pace;
+    private RealTimePacer pacer;
 
     RealRun(RealOptions options, PrintStream progress) {
         this.options = options;
@@ -76,204 +76,209 @@
     }
 
     /** The exit code. */
-    int play(PrintStream out) {
+    int run(PrintStream out) {
         try {
             return new Report(options, "real", measure(), costs).write(out);
         } catch (IOException | ExecutionException e) {
             progress.println("scale: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILED;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return FAILED;
+            return EXIT_FAILED;
         }
     }
 
     /** Returns once all processes have ended. */
     Fleet measure() throws IOException, InterruptedException, ExecutionException {
-        folder = Files.createTempDirectory("deckfall-scale");
+        runFolder = Files.createTempDirectory("deckfall-scale");
         try {
-            fleet = onLoop(() -> new Fleet(options, options.processes, options.hollow()));
-            pace = new RealTimePacer(group.next(), fleet.queue);
-            for (SimulatedServer s : List.copyOf(fleet.servers)) {
-                SimulatedServerHandler listener = new SimulatedServerHandler(s, this::came);
-                addresses.put(s.id, LoopbackListeners.open(group, () -> http(listener)));
+            fleet = callOnEventLoop(() -> new Fleet(options, options.processes, options.simulatedGateways()));
+            pacer = new RealTimePacer(group.next(), fleet.queue);
+            for (SimulatedServer server : List.copyOf(fleet.servers)) {
+                SimulatedServerHandler handler = new SimulatedServerHandler(server, this::requestReceived);
+                serverAddresses.put(server.id, LoopbackListeners.open(group, () -> httpHandlers(handler)));
             }
-            for (int g = 0; g < options.processes; g++) {
-                start(g);
+            for (int number = 0; number < options.processes; number++) {
+                startGateway(number);
             }
             awaitReady();
-            play();
+            run();
             return fleet;
         } finally {
-            end();
+            shutDown();
         }
     }
 
-    private <T> T onLoop(Callable<T> work) throws InterruptedException, ExecutionException {
+    private <T> T callOnEventLoop(Callable<T> work) throws InterruptedException, ExecutionException {
         return group.next().submit(work).get();
     }
 
-    private static ChannelHandler[] http(ChannelHandler... last) {
-        List<ChannelHandler> all = new ArrayList<>(List.of(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY)));
-        all.addAll(List.of(last));
-        return all.toArray(new ChannelHandler[0]);
+    private static ChannelHandler[] httpHandlers(ChannelHandler... last) {
+        List<ChannelHandler> handlers =
+                new ArrayList<>(List.of(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES)));
+        handlers.addAll(List.of(last));
+        return handlers.toArray(new ChannelHandler[0]);
     }
 
-    private void came(String id, SimulatedServer server, ChannelHandlerContext from) {
-        pace.catchUp();
-        for (RealGateway g : gateways) {
-            if (g.hasRequest(id)) {
-                g.requestReceived(id, server, from);
+    private void requestReceived(String id, SimulatedServer server, ChannelHandlerContext context) {
+        pacer.catchUp();
+        for (RealGateway gateway : realGateways) {
+            if (gateway.hasRequest(id)) {
+                gateway.requestReceived(id, server, context);
                 return;
             }
         }
-        SimulatedServerHandler.respond(from, Outcome.MOOT, 0);
+        SimulatedServerHandler.respond(context, Outcome.MOOT, 0);
     }
 
     // ---- processes
 
-    private void start(int number) throws IOException, InterruptedException, ExecutionException {
+    private void startGateway(int number) throws IOException, InterruptedException, ExecutionException {
         ControlTraffic traffic = new ControlTraffic();
         int zone = fleet.topology.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
-        SimulatedServer aside = onLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
-        SimulatedServerHandler direct = new SimulatedServerHandler(aside, this::came);
+        SimulatedServer directServer =
+                callOnEventLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
+        SimulatedServerHandler directHandler = new SimulatedServerHandler(directServer, this::requestReceived);
         RealGateway gateway = new RealGateway(
                 fleet,
-                pace,
+                pacer,
                 settings,
                 zone,
-                times,
+                latencies,
                 new HttpConnectionPool(group, listen),
-                new HttpConnectionPool(group, LoopbackListeners.open(group, () -> http(direct))));
-        DiscoveryAgent agent = new DiscoveryAgent(id -> LoopbackListeners.hostAndPort(addresses.get(id)), traffic);
-        JsonNode known = onLoop(() -> {
+                new HttpConnectionPool(group, LoopbackListeners.open(group, () -> httpHandlers(directHandler))));
+        DiscoveryAgent agent =
+                new DiscoveryAgent(id -> LoopbackListeners.hostAndPort(serverAddresses.get(id)), traffic);
+        JsonNode knownHosts = callOnEventLoop(() -> {
             fleet.gateways[number] = gateway;
-            gateways.add(gateway);
+            realGateways.add(gateway);
             fleet.discovery.watch(number, agent);
             fleet.queue.runUntil(
                     SimulationOptions.STARTUP_MS); // the hollow ones start; the clock then waits for the real ones
             return agent.knownHostsAsJson();
         });
-        InetSocketAddress discovery = LoopbackListeners.open(group, () -> with(traffic, http(agent)));
+        InetSocketAddress discovery = LoopbackListeners.open(group, () -> prepend(traffic, httpHandlers(agent)));
         InetSocketAddress counter = LoopbackListeners.open(group, () -> new ChannelHandler[] {
             traffic,
-            new LineBasedFrameDecoder(LONGEST_LINE),
-            new CounterConnectionHandler(fleet, pace, gateway, traffic)
+            new LineBasedFrameDecoder(MAX_LINE_BYTES),
+            new CounterConnectionHandler(fleet, pacer, gateway, traffic)
         });
-        Path own = Files.createDirectory(folder.resolve("n" + number));
+        Path gatewayFolder = Files.createDirectory(runFolder.resolve("n" + number));
         Files.writeString(
-                own.resolve("config.json"),
-                config(settings, listen, discovery, counter, known).toString());
-        members.add(new Member(
+                gatewayFolder.resolve("config.json"),
+                config(settings, listen, discovery, counter, knownHosts).toString());
+        measuredGateways.add(new MeasuredGateway(
                 gateway,
                 new GatewayProcess(
-                        options.run,
-                        options.root(),
-                        own,
+                        options.runCommand,
+                        options.workingDirectory(),
+                        gatewayFolder,
                         "n" + number,
                         LoopbackListeners.hostAndPort(listen),
                         LoopbackListeners.hostAndPort(discovery)),
                 traffic));
     }
 
-    private static ChannelHandler[] with(ChannelHandler first, ChannelHandler... rest) {
+    private static ChannelHandler[] prepend(ChannelHandler first, ChannelHandler... rest) {
         return Stream.concat(Stream.of(first), Stream.of(rest)).toArray(ChannelHandler[]::new);
     }
 
     private static InetSocketAddress freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
     }
 
     private ObjectNode config(
-            Settings s,
+            Settings gatewaySettings,
             InetSocketAddress listen,
             InetSocketAddress discovery,
             InetSocketAddress counter,
-            JsonNode known) {
+            JsonNode knownHosts) {
         ObjectNode root = new ObjectMapper()
                 .createObjectNode()
-                .put("name", "n" + s.gatewayNumber())
+                .put("name", "n" + gatewaySettings.gatewayNumber())
                 .put("listen", LoopbackListeners.hostAndPort(listen))
                 .put("discovery", LoopbackListeners.hostAndPort(discovery))
-                .put("seed", Long.toHexString(s.seed()))
+                .put("seed", Long.toHexString(gatewaySettings.seed()))
                 .put("counter", LoopbackListeners.hostAndPort(counter));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
-        root.set("known", known);
+        root.set("known", knownHosts);
         ObjectNode settings = root.putObject("settings")
-                .put("ordinal", s.gatewayNumber())
-                .put("balancers", s.gatewayCount())
-                .put("az", s.zone());
+                .put("ordinal", gatewaySettings.gatewayNumber())
+                .put("balancers", gatewaySettings.gatewayCount())
+                .put("az", gatewaySettings.zone());
         settings.putObject("limits")
-                .put("max_attempts", s.limits().maxAttempts())
+                .put("max_attempts", gatewaySettings.limits().maxAttempts())
                 .put("cancel", true)
                 .put("retry_after", true)
-                .put("max_retry_after_ms", s.limits().maxRetryAfterMs())
-                .put("connect_timeout_ms", s.limits().connectTimeoutMs());
+                .put("max_retry_after_ms", gatewaySettings.limits().maxRetryAfterMs())
+                .put("connect_timeout_ms", gatewaySettings.limits().connectTimeoutMs());
         settings.putObject("rules")
-                .put("answer_slack_ms", s.rules().answerSlackMs())
-                .put("drain_grace_ms", s.rules().drainGraceMs())
-                .put("fall_multiple", s.rules().fallMultiple())
-                .put("fall_ms", s.rules().fallMs())
-                .put("cold_from", s.rules().coldFrom())
-                .put("warm_within_ms", s.rules().warmWithinMs());
+                .put("answer_slack_ms", gatewaySettings.rules().answerSlackMs())
+                .put("drain_grace_ms", gatewaySettings.rules().drainGraceMs())
+                .put("fall_multiple", gatewaySettings.rules().fallMultiple())
+                .put("fall_ms", gatewaySettings.rules().fallMs())
+                .put("cold_from", gatewaySettings.rules().coldFrom())
+                .put("warm_within_ms", gatewaySettings.rules().warmWithinMs());
         settings.putObject("specifics")
                 .put("counter", true)
-                .put("counter_price", s.coordination().counterCallPrice())
-                .put("meter_period_ms", s.coordination().meterPeriodMs())
-                .put("max_units", s.coordination().maxUnitsPerRequest())
+                .put("counter_price", gatewaySettings.coordination().counterCallPrice())
+                .put("meter_period_ms", gatewaySettings.coordination().meterPeriodMs())
+                .put("max_units", gatewaySettings.coordination().maxUnitsPerRequest())
                 .put("counter_timeout_ms", options.counterTimeoutMs);
         ArrayNode classes = settings.putArray("classes");
-        for (RequestClass c : s.classes()) {
+        for (RequestClass requestClass : gatewaySettings.classes()) {
             classes.addObject()
-                    .put("name", c.name())
-                    .put("effect", c.effect() == Effect.REPEATABLE ? "repeatable" : "once")
-                    .put("goal_time_ms", c.goalMs())
-                    .put("hard_limit_ms", c.deadlineMs())
-                    .put("worth", c.worth());
+                    .put("name", requestClass.name())
+                    .put("effect", requestClass.effect() == Effect.REPEATABLE ? "repeatable" : "once")
+                    .put("goal_time_ms", requestClass.goalMs())
+                    .put("hard_limit_ms", requestClass.deadlineMs())
+                    .put("worth", requestClass.worth());
         }
         ArrayNode plans = settings.putArray("plans");
-        for (Plan p : s.plans()) {
+        for (Plan plan : gatewaySettings.plans()) {
             plans.addObject()
-                    .put("name", p.name())
-                    .put("units_per_s", p.rate())
-                    .put("depth", p.burst())
-                    .put("at_once", p.openLimit())
-                    .put("value_factor", p.valueFactor())
-                    .put("over_worth", p.excessWorth())
-                    .put("excess_cost", p.excessCost());
+                    .put("name", plan.name())
+                    .put("units_per_s", plan.rate())
+                    .put("depth", plan.burst())
+                    .put("at_once", plan.openLimit())
+                    .put("value_factor", plan.valueFactor())
+                    .put("over_worth", plan.excessWorth())
+                    .put("excess_cost", plan.excessCost());
         }
         return root;
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
-        for (Member m : members) {
-            URI uri = URI.create("http://" + address(m) + "/healthz");
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
+        for (MeasuredGateway measured : measuredGateways) {
+            URI uri = URI.create("http://" + address(measured) + "/healthz");
             while (!healthy(uri)) {
-                if (!m.process.alive() || System.nanoTime() > end) {
-                    throw new IOException("gateway " + m.gateway.number + " is not ready: "
-                            + lastLine(folder.resolve("n" + m.gateway.number).resolve("log")));
+                if (!measured.process.alive() || System.nanoTime() > deadlineNanos) {
+                    throw new IOException("gateway " + measured.gateway.number + " is not ready: "
+                            + lastLine(runFolder
+                                    .resolve("n" + measured.gateway.number)
+                                    .resolve("log")));
                 }
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         }
     }
 
-    private String address(Member m) throws IOException {
-        Path config = folder.resolve("n" + m.gateway.number).resolve("config.json");
+    private String address(MeasuredGateway measured) throws IOException {
+        Path config = runFolder.resolve("n" + measured.gateway.number).resolve("config.json");
         return new ObjectMapper().readTree(config.toFile()).path("listen").asText();
     }
 
     private static boolean healthy(URI uri) {
         try {
-            HttpURLConnection c = (HttpURLConnection) uri.toURL().openConnection();
-            c.setConnectTimeout(HEALTH_MS);
-            c.setReadTimeout(HEALTH_MS);
-            return c.getResponseCode() == OK;
+            HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
+            connection.setConnectTimeout(HEALTH_TIMEOUT_MS);
+            connection.setReadTimeout(HEALTH_TIMEOUT_MS);
+            return connection.getResponseCode() == STATUS_OK;
         } catch (IOException e) {
             return false;
         }
@@ -286,98 +291,106 @@
 
     // ---- the measured time
 
-    private void play() throws InterruptedException, ExecutionException {
+    private void run() throws InterruptedException, ExecutionException {
         Thread.sleep((long) (1000 * options.settleSeconds));
-        onLoop(() -> {
-            pace.start();
+        callOnEventLoop(() -> {
+            pacer.start();
             return null;
         });
-        List<Sample> before = samples();
-        awaitClock(options.loadMs());
-        List<Sample> idle = samples();
-        onLoop(() -> {
+        List<Sample> idleStart = samples();
+        awaitClock(options.loadFromMs());
+        List<Sample> idleEnd = samples();
+        callOnEventLoop(() -> {
             fleet.startClients(options.measuredUntilMs());
             return null;
         });
         awaitClock(options.measuredFromMs());
-        onLoop(pace::takeMaxLagMs);
-        List<Sample> from = samples();
+        callOnEventLoop(pacer::takeMaxLagMs);
+        List<Sample> loadedStart = samples();
         awaitClock(options.measuredUntilMs());
-        List<Sample> to = samples();
-        double late = onLoop(pace::takeMaxLagMs);
+        List<Sample> loadedEnd = samples();
+        double maxLagMs = callOnEventLoop(pacer::takeMaxLagMs);
         awaitClock(options.measuredUntilMs() + options.deadlineMs + DRAIN_MS);
-        told("idle", before, idle, options.idleSeconds);
-        told("loaded", from, to, options.seconds);
-        double resident =
-                to.stream().mapToDouble(Sample::residentMegabytes).max().orElse(0);
-        costs.put("real_resident_mb_max", Report.rounded(resident));
-        for (RunStatistics.RequestOutcome end : RunStatistics.RequestOutcome.values()) {
-            costs.put("real_" + end.name().toLowerCase(java.util.Locale.ROOT), times.outcomes(end));
+        addCosts("idle", idleStart, idleEnd, options.idleSeconds);
+        addCosts("loaded", loadedStart, loadedEnd, options.seconds);
+        double maxResidentMegabytes =
+                loadedEnd.stream().mapToDouble(Sample::residentMegabytes).max().orElse(0);
+        costs.put("real_resident_mb_max", Report.rounded(maxResidentMegabytes));
+        for (RunStatistics.RequestOutcome outcome : RunStatistics.RequestOutcome.values()) {
+            costs.put("real_" + outcome.name().toLowerCase(java.util.Locale.ROOT), latencies.outcomes(outcome));
         }
-        costs.put("real_pairs", times.gatewayMicros.getTotalCount());
-        told("via", times.gatewayMicros);
-        told("direct", times.directMicros);
-        told("added", times.addedMicros);
-        costs.put("clock_late_ms_max", Report.rounded(late));
+        costs.put("real_pairs", latencies.gatewayMicros.getTotalCount());
+        addCosts("via", latencies.gatewayMicros);
+        addCosts("direct", latencies.directMicros);
+        addCosts("added", latencies.addedMicros);
+        costs.put("clock_late_ms_max", Report.rounded(maxLagMs));
     }
 
     private List<Sample> samples() throws InterruptedException, ExecutionException {
-        List<Sample> all = new ArrayList<>();
-        for (Member m : members) {
-            all.add(onLoop(() -> new Sample(
-                    m.process.cpuSeconds(), m.process.residentMegabytes(), m.traffic.bytes(), m.traffic.messages())));
+        List<Sample> samples = new ArrayList<>();
+        for (MeasuredGateway measured : measuredGateways) {
+            samples.add(callOnEventLoop(() -> new Sample(
+                    measured.process.cpuSeconds(),
+                    measured.process.residentMegabytes(),
+                    measured.traffic.bytes(),
+                    measured.traffic.messages())));
         }
-        return all;
+        return samples;
     }
 
-    private void awaitClock(double ms) throws InterruptedException {
-        long told = System.nanoTime();
-        while (pace.now() < ms) {
-            Thread.sleep(LOOK_MS);
-            if (System.nanoTime() - told > TimeUnit.SECONDS.toNanos(5)) {
-                told = System.nanoTime();
-                progress.printf("scale: at %.1f of %.1f s%n", pace.now() / 1000, options.measuredUntilMs() / 1000);
+    private void awaitClock(double untilMs) throws InterruptedException {
+        long lastProgressNanos = System.nanoTime();
+        while (pacer.now() < untilMs) {
+            Thread.sleep(POLL_INTERVAL_MS);
+            if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(5)) {
+                lastProgressNanos = System.nanoTime();
+                progress.printf("scale: at %.1f of %.1f s%n", pacer.now() / 1000, options.measuredUntilMs() / 1000);
             }
         }
     }
 
     /** Means and largest of the processes, a second. */
-    private void told(String phase, List<Sample> from, List<Sample> to, double seconds) {
+    private void addCosts(String phase, List<Sample> from, List<Sample> to, double seconds) {
         double[][] rates = new double[3][from.size()];
         for (int i = 0; i < from.size(); i++) {
-            rates[0][i] = (to.get(i).processorSeconds - from.get(i).processorSeconds) / seconds;
+            rates[0][i] = (to.get(i).cpuSeconds - from.get(i).cpuSeconds) / seconds;
             rates[1][i] = (to.get(i).bytes - from.get(i).bytes) / seconds;
             rates[2][i] = (to.get(i).messages - from.get(i).messages) / seconds;
         }
         String[] names = {"cpu_share_of_core", "control_bytes_per_second", "control_messages_per_second"};
-        for (int k = 0; k < names.length; k++) {
+        for (int metric = 0; metric < names.length; metric++) {
             costs.put(
-                    "real_" + phase + "_" + names[k] + "_mean",
-                    Report.rounded(Arrays.stream(rates[k]).average().orElse(0)));
+                    "real_" + phase + "_" + names[metric] + "_mean",
+                    Report.rounded(Arrays.stream(rates[metric]).average().orElse(0)));
             costs.put(
-                    "real_" + phase + "_" + names[k] + "_max",
-                    Report.rounded(Arrays.stream(rates[k]).max().orElse(0)));
+                    "real_" + phase + "_" + names[metric] + "_max",
+                    Report.rounded(Arrays.stream(rates[metric]).max().orElse(0)));
         }
     }
 
-    private void told(String name, Histogram h) {
-        costs.put(name + "_ms_p50", h.getValueAtPercentile(50) / 1000.0);
-        costs.put(name + "_ms_p99", h.getValueAtPercentile(99) / 1000.0);
-        costs.put(name + "_ms_p99_9", h.getValueAtPercentile(99.9) / 1000.0);
+    private void addCosts(String name, Histogram histogram) {
+        costs.put(name + "_ms_p50", histogram.getValueAtPercentile(50) / 1000.0);
+        costs.put(name + "_ms_p99", histogram.getValueAtPercentile(99) / 1000.0);
+        costs.put(name + "_ms_p99_9", histogram.getValueAtPercentile(99.9) / 1000.0);
     }
 
     // ---- the end
 
-    private void end() throws IOException {
-        members.forEach(m -> m.process.stop());
-        long inOrder = members.stream().filter(m -> m.process.awaitExit()).count();
-        costs.put("real_ended_in_order", inOrder);
+    private void shutDown() throws IOException {
+        measuredGateways.forEach(measured -> measured.process.stop());
+        long cleanExits = measuredGateways.stream()
+                .filter(measured -> measured.process.awaitExit())
+                .count();
+        costs.put("real_ended_in_order", cleanExits);
         costs.put(
                 "real_left_running",
-                members.stream().filter(m -> m.process.alive()).count());
+                measuredGateways.stream()
+                        .filter(measured -> measured.process.alive())
+                        .count());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        try (Stream<Path> all = Files.walk(folder)) {
-            all.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
+        try (Stream<Path> files = Files.walk(runFolder)) {
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(file -> file.toFile().delete());
         }
     }
 
--- a/src/test/java/deckfall/scale/RealRunTest.java
+++ b/src/test/java/deckfall/scale/RealRunTest.java
@@ -17,10 +17,10 @@
 
 /** One real process among a few hollow gateways, for a moment: what is counted, never how long it took. */
 class RealRunTest {
-    private static final String START = Path.of(System.getProperty("java.home"), "bin", "java")
+    private static final String SERVE_COMMAND = Path.of(System.getProperty("java.home"), "bin", "java")
             + " -XX:+UseSerialGC -cp '" + System.getProperty("java.class.path") + "' deckfall.Main serve";
 
-    private static RealOptions options(String run) {
+    private static RealOptions options(String command) {
         RealOptions options = new RealOptions();
         new CommandLine(options)
                 .parseArgs(
@@ -47,7 +47,7 @@
                         "--service-ms",
                         "5",
                         "--run",
-                        run);
+                        command);
         options.check();
         return options;
     }
@@ -57,8 +57,8 @@
     }
 
     @Test
-    void aRealProcessServesAmongHollowOnesAndEnds() throws Exception {
-        RealRun run = run("exec " + START);
+    void realProcessServesAmongSimulatedGatewaysAndExitsCleanly() throws Exception {
+        RealRun run = run("exec " + SERVE_COMMAND);
         Fleet fleet = run.measure();
         Map<String, Object> costs = run.costs();
         assertTrue((Long) costs.get("real_served") > 0, costs.toString());
@@ -72,23 +72,23 @@
 
     /** What started it may live on after a signal that it does not hear: nothing of it is left all the same. */
     @Test
-    void aProcessThatDoesNotEndIsEnded(@TempDir Path dir) throws Exception {
-        Path pid = dir.resolve("pid");
-        RealRun run = run("trap '' TERM; " + START + " & echo $! > '" + pid + "'; while :; do wait; done");
+    void processThatIgnoresSigtermIsKilledWithItsDescendants(@TempDir Path dir) throws Exception {
+        Path pidFile = dir.resolve("pid");
+        RealRun run = run("trap '' TERM; " + SERVE_COMMAND + " & echo $! > '" + pidFile + "'; while :; do wait; done");
         run.measure();
         assertEquals(0L, run.costs().get("real_ended_in_order"));
         assertEquals(0L, run.costs().get("real_left_running"));
-        long started = Long.parseLong(Files.readString(pid).trim());
-        boolean left = ProcessHandle.of(started).map(ProcessHandle::isAlive).orElse(false);
-        ProcessHandle.of(started).ifPresent(ProcessHandle::destroyForcibly);
+        long pid = Long.parseLong(Files.readString(pidFile).trim());
+        boolean left = ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
+        ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         assertFalse(left);
     }
 
     /** The run fails with what the process said last, and leaves nothing behind. */
     @Test
-    void aProcessThatCannotStartFailsTheRun() {
+    void processThatCannotStartFailsTheRun() {
         RealRun run = run("echo no such gateway >&2; exit 3");
-        Exception failed = assertThrows(IOException.class, run::measure);
-        assertTrue(failed.getMessage().endsWith("no such gateway"), failed.getMessage());
+        Exception failure = assertThrows(IOException.class, run::measure);
+        assertTrue(failure.getMessage().endsWith("no such gateway"), failure.getMessage());
     }
 }
