--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -315,7 +315,7 @@
         addCosts("loaded", loadedStart, loadedEnd, options.seconds);
         double maxResidentMegabytes =
                 loadedEnd.stream().mapToDouble(Sample::residentMegabytes).max().orElse(0);
-        costs.put("real_resident_mb_max", Report.rounded(maxResidentMegabytes));
+        costs.put("real_resident_mb_max", Report.round(maxResidentMegabytes));
         for (RunStatistics.RequestOutcome outcome : RunStatistics.RequestOutcome.values()) {
             costs.put("real_" + outcome.name().toLowerCase(java.util.Locale.ROOT), latencies.outcomes(outcome));
         }
@@ -323,7 +323,7 @@
         addCosts("via", latencies.gatewayMicros);
         addCosts("direct", latencies.directMicros);
         addCosts("added", latencies.addedMicros);
-        costs.put("clock_late_ms_max", Report.rounded(maxLagMs));
+        costs.put("clock_late_ms_max", Report.round(maxLagMs));
     }
 
     private List<Sample> samples() throws InterruptedException, ExecutionException {
@@ -361,10 +361,10 @@
         for (int metric = 0; metric < names.length; metric++) {
             costs.put(
                     "real_" + phase + "_" + names[metric] + "_mean",
-                    Report.rounded(Arrays.stream(rates[metric]).average().orElse(0)));
+                    Report.round(Arrays.stream(rates[metric]).average().orElse(0)));
             costs.put(
                     "real_" + phase + "_" + names[metric] + "_max",
-                    Report.rounded(Arrays.stream(rates[metric]).max().orElse(0)));
+                    Report.round(Arrays.stream(rates[metric]).max().orElse(0)));
         }
     }
 
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -16,30 +16,30 @@
  * are those of the machine.
  */
 final class Report {
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILED = 1;
 
     private final SimulationOptions options;
-    private final String run;
+    private final String runKind;
     private final Fleet fleet;
     private final Map<String, Object> figures = new LinkedHashMap<>();
     private final Map<String, Object> costs;
 
-    Report(SimulationOptions options, String run, Fleet fleet, Map<String, Object> costs) {
+    Report(SimulationOptions options, String runKind, Fleet fleet, Map<String, Object> costs) {
         this.options = options;
-        this.run = run;
+        this.runKind = runKind;
         this.fleet = fleet;
         this.costs = costs;
-        tries();
-        quotas();
-        counter();
-        hosts();
+        addRequests();
+        addQuotas();
+        addCounter();
+        addHosts();
     }
 
     Map<String, Object> figures() {
         return figures;
     }
 
-    static double rounded(double value) {
+    static double round(double value) {
         return value == 0 || !Double.isFinite(value)
                 ? 0
                 : new java.math.BigDecimal(value)
@@ -50,78 +50,80 @@
     private void put(String name, double value) {
         figures.put(
                 name,
-                value == Math.rint(value) && Math.abs(value) < 1e15 ? (Object) (long) value : (Object) rounded(value));
+                value == Math.rint(value) && Math.abs(value) < 1e15 ? (Object) (long) value : (Object) round(value));
     }
 
-    private void tries() {
-        RunStatistics f = fleet.statistics;
-        put("tries_all", f.totalRequests);
-        put("answers_all", f.totalAnswers);
-        put("tries", f.requests);
-        put("first_tries", f.firstRequests);
-        for (RunStatistics.RequestOutcome end : RunStatistics.RequestOutcome.values()) {
-            put(end.name().toLowerCase(java.util.Locale.ROOT), f.outcomes(end));
+    private void addRequests() {
+        RunStatistics statistics = fleet.statistics;
+        put("tries_all", statistics.totalRequests);
+        put("answers_all", statistics.totalAnswers);
+        put("tries", statistics.requests);
+        put("first_tries", statistics.firstRequests);
+        for (RunStatistics.RequestOutcome outcome : RunStatistics.RequestOutcome.values()) {
+            put(outcome.name().toLowerCase(java.util.Locale.ROOT), statistics.outcomes(outcome));
         }
-        put("refused_advised", f.refusedWithRetryAfter);
-        put("attempts", f.attempts);
-        Histogram h = f.dispatchDelayMicros;
-        put("added_ms_p50", h.getValueAtPercentile(50) / 1000.0);
-        put("added_ms_p99", h.getValueAtPercentile(99) / 1000.0);
-        put("added_ms_p99_9", h.getValueAtPercentile(99.9) / 1000.0);
+        put("refused_advised", statistics.refusedWithRetryAfter);
+        put("attempts", statistics.attempts);
+        Histogram histogram = statistics.dispatchDelayMicros;
+        put("added_ms_p50", histogram.getValueAtPercentile(50) / 1000.0);
+        put("added_ms_p99", histogram.getValueAtPercentile(99) / 1000.0);
+        put("added_ms_p99_9", histogram.getValueAtPercentile(99.9) / 1000.0);
     }
 
-    private void quotas() {
-        RunStatistics f = fleet.statistics;
-        QuotaAccounting q = fleet.quotas;
-        put("refused_with_room", q.refusedInQuota());
-        put("refused_with_room_share", share(q.refusedInQuota(), f.requests));
-        put("units_sent", q.unitsSent());
-        put("units_beyond", q.unitsOverQuota());
-        put("units_beyond_share", share(q.unitsOverQuota(), q.unitsSent()));
-        put("over_quota_price", q.overQuotaCostShare());
-        put("served_worth_share", q.servedWorthShare());
-        put("beyond_customers", q.overQuotaWindows().customerCount());
-        put("beyond_units_5s_largest", q.overQuotaWindows().max());
-        put("beyond_units_5s_mean", q.overQuotaWindows().mean());
-        put("lacking_customers", q.refusedInQuotaWindows().customerCount());
-        put("lacking_units_5s_largest", q.refusedInQuotaWindows().max());
-        put("lacking_units_5s_mean", q.refusedInQuotaWindows().mean());
+    private void addQuotas() {
+        RunStatistics statistics = fleet.statistics;
+        QuotaAccounting quotas = fleet.quotas;
+        put("refused_with_room", quotas.refusedInQuota());
+        put("refused_with_room_share", share(quotas.refusedInQuota(), statistics.requests));
+        put("units_sent", quotas.unitsSent());
+        put("units_beyond", quotas.unitsOverQuota());
+        put("units_beyond_share", share(quotas.unitsOverQuota(), quotas.unitsSent()));
+        put("over_quota_price", quotas.overQuotaCostShare());
+        put("served_worth_share", quotas.servedWorthShare());
+        put("beyond_customers", quotas.overQuotaWindows().customerCount());
+        put("beyond_units_5s_largest", quotas.overQuotaWindows().max());
+        put("beyond_units_5s_mean", quotas.overQuotaWindows().mean());
+        put("lacking_customers", quotas.refusedInQuotaWindows().customerCount());
+        put("lacking_units_5s_largest", quotas.refusedInQuotaWindows().max());
+        put("lacking_units_5s_mean", quotas.refusedInQuotaWindows().mean());
     }
 
     /** How a reference policy did on the same tries, beside the module. */
     void addReference(String name, Fleet reference) {
-        QuotaAccounting q = reference.quotas;
-        put(name + "_over_quota_price", q.overQuotaCostShare());
-        put(name + "_served_worth_share", q.servedWorthShare());
-        put("over_quota_price_above_" + name, fleet.quotas.overQuotaCostShare() - q.overQuotaCostShare());
+        QuotaAccounting quotas = reference.quotas;
+        put(name + "_over_quota_price", quotas.overQuotaCostShare());
+        put(name + "_served_worth_share", quotas.servedWorthShare());
+        put("over_quota_price_above_" + name, fleet.quotas.overQuotaCostShare() - quotas.overQuotaCostShare());
     }
 
-    private void counter() {
-        RunStatistics f = fleet.statistics;
-        put("calls", f.totalCalls());
-        put("calls_per_second_mean", f.totalCalls() / options.seconds);
-        put("calls_per_second_max", f.perSecond.max(PerSecondTotals.Metric.CALLS));
-        put("calls_per_try", share(f.totalCalls(), f.requests));
-        put("calls_per_second_gateway_max", f.maxGatewayCallsInSecond());
-        for (RunStatistics.CallPurpose call : RunStatistics.CallPurpose.values()) {
-            put("calls_" + call.name().toLowerCase(java.util.Locale.ROOT), f.callsByPurpose.getOrDefault(call, 0L));
+    private void addCounter() {
+        RunStatistics statistics = fleet.statistics;
+        put("calls", statistics.totalCalls());
+        put("calls_per_second_mean", statistics.totalCalls() / options.seconds);
+        put("calls_per_second_max", statistics.perSecond.max(PerSecondTotals.Metric.CALLS));
+        put("calls_per_try", share(statistics.totalCalls(), statistics.requests));
+        put("calls_per_second_gateway_max", statistics.maxGatewayCallsInSecond());
+        for (RunStatistics.CallPurpose purpose : RunStatistics.CallPurpose.values()) {
+            put(
+                    "calls_" + purpose.name().toLowerCase(java.util.Locale.ROOT),
+                    statistics.callsByPurpose.getOrDefault(purpose, 0L));
         }
-        put("calls_ok", f.callOutcomes.getOrDefault(Outcome.OK, 0L));
-        put("calls_busy", f.callOutcomes.getOrDefault(Outcome.FULL, 0L));
-        put("calls_timeout", f.callOutcomes.getOrDefault(Outcome.TIMEOUT, 0L));
-        put("calls_refused", f.callOutcomes.getOrDefault(Outcome.CONNECT_FAILED, 0L));
+        put("calls_ok", statistics.callOutcomes.getOrDefault(Outcome.OK, 0L));
+        put("calls_busy", statistics.callOutcomes.getOrDefault(Outcome.FULL, 0L));
+        put("calls_timeout", statistics.callOutcomes.getOrDefault(Outcome.TIMEOUT, 0L));
+        put("calls_refused", statistics.callOutcomes.getOrDefault(Outcome.CONNECT_FAILED, 0L));
         SimulatedCounter counter = fleet.counter;
         put("counter_served_all", counter == null ? 0 : counter.served());
         put("counter_served_in_second_max", counter == null ? 0 : counter.maxServedInSecond());
         put("counter_names_at_end", counter == null ? 0 : counter.entryCount());
     }
 
-    private void hosts() {
-        RunStatistics f = fleet.statistics;
-        put("hosts_used_per_gateway", f.hostsUsed());
-        put("hosts_used_before_change", f.hostsUsedBefore());
-        put("hosts_newly_used_per_gateway", f.hostsNewlyUsed());
-        put("attempts_outside_zone_share", share(f.crossZoneAttempts, f.attempts));
+    private void addHosts() {
+        RunStatistics statistics = fleet.statistics;
+        put("hosts_used_per_gateway", statistics.hostsUsed());
+        put("hosts_used_before_change", statistics.hostsUsedBefore());
+        put("hosts_newly_used_per_gateway", statistics.hostsNewlyUsed());
+        put("attempts_outside_zone_share", share(statistics.crossZoneAttempts, statistics.attempts));
         put("gateways_started", fleet.gatewaysStarted());
         put("lists_told", fleet.discovery.listsDelivered());
     }
@@ -132,37 +134,37 @@
 
     /** The exit code. */
     int write(PrintStream out) {
-        table(out, run.equals("hollow") ? "figures, by the seed alone" : "figures of the fleet", figures);
-        table(out, "costs, of this machine", costs);
-        return options.jsonFile == null ? 0 : append();
+        printTable(out, runKind.equals("hollow") ? "figures, by the seed alone" : "figures of the fleet", figures);
+        printTable(out, "costs, of this machine", costs);
+        return options.jsonFile == null ? 0 : appendJson();
     }
 
-    private static void table(PrintStream out, String title, Map<String, Object> rows) {
+    private static void printTable(PrintStream out, String title, Map<String, Object> rows) {
         out.println(title);
         rows.forEach((name, value) -> out.printf("  %-32s %16s%n", name, value));
     }
 
-    private int append() {
+    private int appendJson() {
         Map<String, Object> line = new LinkedHashMap<>();
         Map<String, Object> arguments = options.arguments();
         arguments.remove("json");
-        line.put("run", run);
+        line.put("run", runKind);
         line.put("arguments", arguments);
         line.put("figures", figures);
         line.put("per_second", fleet.statistics.perSecond.toMap());
         line.put("costs", costs);
         try {
-            String text = new ObjectMapper().writeValueAsString(line) + '\n';
+            String json = new ObjectMapper().writeValueAsString(line) + '\n';
             Files.writeString(
                     options.jsonFile.toPath(),
-                    text,
+                    json,
                     StandardCharsets.UTF_8,
                     StandardOpenOption.CREATE,
                     StandardOpenOption.APPEND);
             return 0;
         } catch (IOException e) {
             System.err.println("scale: can't write '" + options.jsonFile + "': " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILED;
         }
     }
 }
--- a/src/main/java/deckfall/scale/SimulationRun.java
+++ b/src/main/java/deckfall/scale/SimulationRun.java
@@ -54,11 +54,11 @@
 
     private Map<String, Object> costs(double loadedCores, double idleCores, double seconds, double megabytes) {
         Map<String, Object> costs = new LinkedHashMap<>();
-        costs.put("cpu_loaded_share_of_core", Report.rounded(loadedCores));
-        costs.put("cpu_idle_share_of_core", Report.rounded(idleCores));
-        costs.put("run_seconds", Report.rounded(seconds));
-        costs.put("memory_mb", Report.rounded(megabytes));
-        costs.put("memory_mb_per_gateway", Report.rounded(megabytes / options.gateways));
+        costs.put("cpu_loaded_share_of_core", Report.round(loadedCores));
+        costs.put("cpu_idle_share_of_core", Report.round(idleCores));
+        costs.put("run_seconds", Report.round(seconds));
+        costs.put("memory_mb", Report.round(megabytes));
+        costs.put("memory_mb_per_gateway", Report.round(megabytes / options.gateways));
         return costs;
     }
 
