--- a/src/main/java/deckfall/scale/FaultInjector.java
+++ b/src/main/java/deckfall/scale/FaultInjector.java
@@ -162,9 +162,9 @@
     /** Discovery and the counter are on one side alone. */
     private void partitionRegions(Fault fault) {
         int servicesRegion = fleet.topology.regionOf(Fleet.SERVICES_ZONE);
-        fleet.topology.partitioned(true);
+        fleet.topology.setPartitioned(true);
         blockDiscovery(fault, gateway -> fleet.topology.regionOf(gateway.zone) != servicesRegion);
-        queue.scheduleAfter(fault.durationMs(), () -> fleet.topology.partitioned(false));
+        queue.scheduleAfter(fault.durationMs(), () -> fleet.topology.setPartitioned(false));
     }
 
     private void blockDiscovery(Fault fault, Predicate<FleetGateway> selected) {
--- a/src/main/java/deckfall/scale/NetworkTopology.java
+++ b/src/main/java/deckfall/scale/NetworkTopology.java
@@ -36,7 +36,7 @@
     }
 
     /** Whether regions have lost each other. */
-    void partitioned(boolean partitionedNow) {
+    void setPartitioned(boolean partitionedNow) {
         partitioned = partitionedNow;
     }
 
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -102,7 +102,7 @@
                 startGateway(number);
             }
             awaitReady();
-            run();
+            runMeasurement();
             return fleet;
         } finally {
             shutDown();
@@ -291,7 +291,7 @@
 
     // ---- the measured time
 
-    private void run() throws InterruptedException, ExecutionException {
+    private void runMeasurement() throws InterruptedException, ExecutionException {
         Thread.sleep((long) (1000 * options.settleSeconds));
         callOnEventLoop(() -> {
             pacer.start();
