--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -18,56 +18,56 @@
 
 /** All gateways, servers and services of a run, and what passes between them. */
 final class Fleet {
-    private static final int MOST_ATTEMPTS = 3;
-    private static final double CONNECT_MS = 250;
-    private static final int ONCE_EVERY = 3; // of the classes, one that may not be repeated
-    private static final double MOST_RETRY_AFTER_MS = 500;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final double CONNECT_TIMEOUT_MS = 250;
+    private static final int ONCE_CLASS_INTERVAL = 3; // of the classes, one that may not be repeated
+    private static final double MAX_RETRY_AFTER_MS = 500;
     static final int SERVICES_ZONE = 0; // where discovery and the counter stand
-    private static final int RACK = 20; // servers of one zone
+    private static final int SERVERS_PER_RACK = 20; // servers of one zone
 
     final EventQueue queue = new EventQueue();
-    final HollowOptions options;
+    final SimulationOptions options;
     final Customers customers;
-    final Quotas quotas;
-    final Figures figures;
-    final Zones zones;
-    final DiscoveryStandIn discovery;
-    final CounterStandIn counter; // null: none
-    final List<SeatServer> servers = new ArrayList<>();
+    final QuotaAccounting quotas;
+    final RunStatistics statistics;
+    final NetworkTopology topology;
+    final SimulatedDiscovery discovery;
+    final SimulatedCounter counter; // null: none
+    final List<SimulatedServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
-    final Front front;
-    private final Clients clients;
-    private final Meter meter;
-    private final Map<String, SeatServer> serversById = new HashMap<>(); // for look-ups alone
+    final SimulatedLoadBalancer loadBalancer;
+    private final SimulatedClients clients;
+    private final SimulatedMeter meter;
+    private final Map<String, SimulatedServer> serversById = new HashMap<>(); // for look-ups alone
     private final List<RequestClass> classes = new ArrayList<>();
-    private Admission admission = Admission.BY_MODULE;
+    private AdmissionPolicy admissionPolicy = AdmissionPolicy.DECIDED_BY_GATEWAYS;
     private int gatewaysStarted;
-    private long endedNanos;
+    private long endedProcessesNanos;
 
     /** With some gateways that are not hollow, which whoever makes it puts into the first places, and some hollow. */
-    Fleet(HollowOptions options, int real, int hollow) {
+    Fleet(SimulationOptions options, int realGateways, int simulatedGateways) {
         this.options = options;
         customers = new Customers(options);
-        figures = new Figures(options);
-        quotas = new Quotas(customers, figures.seconds);
-        zones = new Zones(options.zones, options.regions, options.nearMs, options.regionMs);
-        discovery = new DiscoveryStandIn(queue, options);
-        counter = options.counterRate <= 0
+        statistics = new RunStatistics(options);
+        quotas = new QuotaAccounting(customers, statistics.perSecond);
+        topology = new NetworkTopology(options.zones, options.regions, options.zoneLatencyMs, options.regionLatencyMs);
+        discovery = new SimulatedDiscovery(queue, options);
+        counter = options.counterCallsPerSecond <= 0
                 ? null
-                : new CounterStandIn(
+                : new SimulatedCounter(
                         queue,
-                        options.counterRate,
-                        options.counterParts,
-                        options.counterMs,
-                        options.counterLine * options.counterTimeoutMs);
-        meter = new Meter(customers, options.meterPeriodMs, options.meterLateMs);
-        clients = new Clients(queue, options, customers, this::arrive);
+                        options.counterCallsPerSecond,
+                        options.counterShards,
+                        options.counterRoundTripMs,
+                        options.maxCounterQueueTimeouts * options.counterTimeoutMs);
+        meter = new SimulatedMeter(customers, options.meterPeriodMs, options.meterDelayMs);
+        clients = new SimulatedClients(queue, options, customers, this::arrive);
         gateways = new FleetGateway[options.gateways];
-        front = new Front(this);
+        loadBalancer = new SimulatedLoadBalancer(this);
         for (int i = 0; i < options.classes; i++) {
             classes.add(new RequestClass(
                     "c" + i,
-                    i % ONCE_EVERY == 1 ? Effect.ONCE : Effect.REPEATABLE,
+                    i % ONCE_CLASS_INTERVAL == 1 ? Effect.ONCE : Effect.REPEATABLE,
                     KeyScope.ALL,
                     0,
                     options.goalMs,
@@ -77,42 +77,44 @@
                     false));
         }
         for (int i = 0; i < options.servers; i++) {
-            discovery.list(addServer(zones.ofNumber(i), rack(i), 0).listed());
+            discovery.addInitialHost(addServer(topology.zoneOf(i), rackOf(i), 0).toHost());
         }
-        for (int g = real; g < real + hollow; g++) {
-            int number = g; // none in step with another: their beats would meet at the counter
-            double at = Chance.between(0, HollowOptions.START_MS, Chance.mixed(options.seed, number), -1);
-            queue.at(at, () -> startGateway(number));
+        for (int gateway = realGateways; gateway < realGateways + simulatedGateways; gateway++) {
+            int number = gateway; // none in step with another: their beats would meet at the counter
+            double startAtMs = HashRandom.uniformBetween(
+                    0, SimulationOptions.STARTUP_MS, HashRandom.mix(options.seed, number), -1);
+            queue.scheduleAt(startAtMs, () -> startGateway(number));
         }
     }
 
-    private int rack(int server) {
-        return server / (options.zones * RACK) * options.zones + zones.ofNumber(server);
+    private int rackOf(int server) {
+        return server / (options.zones * SERVERS_PER_RACK) * options.zones + topology.zoneOf(server);
     }
 
-    SeatServer addServer(int zone, int cell, double startedMs) {
-        SeatServer s = new SeatServer(queue, options, servers.size(), zone, cell, startedMs);
-        servers.add(s);
-        serversById.put(s.id, s);
-        return s;
+    SimulatedServer addServer(int zone, int cell, double startedMs) {
+        SimulatedServer server = new SimulatedServer(queue, options, servers.size(), zone, cell, startedMs);
+        servers.add(server);
+        serversById.put(server.id, server);
+        return server;
     }
 
     /** A new process of a gateway, to which new tries go. */
-    HollowGateway startGateway(int number) {
-        int zone = zones.ofNumber(number);
-        HollowGateway gateway = new HollowGateway(this, settings(number, Zones.name(zone)), number, zone);
+    SimulatedGateway startGateway(int number) {
+        int zone = topology.zoneOf(number);
+        SimulatedGateway gateway =
+                new SimulatedGateway(this, settings(number, NetworkTopology.zoneName(zone)), number, zone);
         gateways[number] = gateway;
         gatewaysStarted++;
         gateway.start();
-        discovery.watch(number, gateway::hosts);
+        discovery.watch(number, gateway::hostsUpdated);
         return gateway;
     }
 
     Settings settings(int number, String zone) {
-        List<Plan> plans = admission.replacesModule() ? customers.plansWithoutQuotas() : customers.plans();
-        boolean metered = options.meterLateMs > 0;
+        List<Plan> plans = admissionPolicy.replacesGatewayQuotas() ? customers.plansWithoutQuotas() : customers.plans();
+        boolean metered = options.meterDelayMs > 0;
         return new Settings(
-                Chance.mixed(options.seed, number),
+                HashRandom.mix(options.seed, number),
                 number,
                 options.gateways,
                 zone,
@@ -120,8 +122,8 @@
                 List.copyOf(classes),
                 plans,
                 List.of(),
-                new Limits(MOST_ATTEMPTS, false, true, false, false, true, MOST_RETRY_AFTER_MS, CONNECT_MS),
-                new Rules(8, 500, 2, 1000, options.coldFrom, options.warmMs, 0),
+                new Limits(MAX_ATTEMPTS, false, true, false, false, true, MAX_RETRY_AFTER_MS, CONNECT_TIMEOUT_MS),
+                new Rules(8, 500, 2, 1000, options.coldCapacity, options.serverWarmUpMs, 0),
                 new Coordination(
                         counter != null,
                         0.01,
@@ -135,121 +137,121 @@
                         0));
     }
 
-    void startClients(double until) {
-        clients.start(until);
+    void startClients(double untilMs) {
+        clients.start(untilMs);
     }
 
     // ---- clients and gateways
 
-    private void arrive(Try t) {
-        if (gateways[t.gateway] == null) {
+    private void arrive(ClientRequest request) {
+        if (gateways[request.gateway] == null) {
             return; // no part of this run, nor are its clients
         }
-        figures.came(t);
-        if (t.earlier == 0) {
-            quotas.offer(t);
+        statistics.requestArrived(request);
+        if (request.retryNumber == 0) {
+            quotas.requestOffered(request);
         }
-        t.gateway = front.gatewayFor(t);
-        if (!gateways[t.gateway].alive()) {
-            ended(t, Figures.End.NO_GATEWAY, 0);
+        request.gateway = loadBalancer.gatewayFor(request);
+        if (!gateways[request.gateway].alive()) {
+            requestEnded(request, RunStatistics.RequestOutcome.NO_GATEWAY, 0);
             return;
         }
-        admission
-                .refusal(t)
+        admissionPolicy
+                .refusalRetryAfterMs(request)
                 .ifPresentOrElse(
-                        retryAfterMs -> ended(t, Figures.End.REFUSED, retryAfterMs),
-                        () -> gateways[t.gateway].request(t));
+                        retryAfterMs -> requestEnded(request, RunStatistics.RequestOutcome.REFUSED, retryAfterMs),
+                        () -> gateways[request.gateway].handleRequest(request));
     }
 
     /** Who decides on quotas in place of the gateways; before any of them starts. */
-    void admitBy(Admission by) {
-        admission = by;
+    void setAdmissionPolicy(AdmissionPolicy policy) {
+        admissionPolicy = policy;
     }
 
     /** A try has its final answer. */
-    void ended(Try t, Figures.End end, double retryAfterMs) {
-        figures.ended(t, end, queue.now());
-        if (end == Figures.End.REFUSED) {
-            figures.refusedAdvised += t.measured && retryAfterMs > 0 ? 1 : 0;
-            if (!t.left) {
-                quotas.refused(t, queue.now());
+    void requestEnded(ClientRequest request, RunStatistics.RequestOutcome outcome, double retryAfterMs) {
+        statistics.requestEnded(request, outcome, queue.now());
+        if (outcome == RunStatistics.RequestOutcome.REFUSED) {
+            statistics.refusedWithRetryAfter += request.measured && retryAfterMs > 0 ? 1 : 0;
+            if (!request.dispatched) {
+                quotas.requestRefused(request, queue.now());
             }
         }
-        if (end == Figures.End.REFUSED || end == Figures.End.NO_GATEWAY) {
-            clients.again(t, retryAfterMs);
+        if (outcome == RunStatistics.RequestOutcome.REFUSED || outcome == RunStatistics.RequestOutcome.NO_GATEWAY) {
+            clients.retryOrGiveUp(request, retryAfterMs);
         }
     }
 
     // ---- gateways and servers
 
-    void attempt(Try.Attempt a) {
-        FleetGateway from = a.gateway;
-        SeatServer to = serversById.get(a.host);
-        double now = queue.now();
-        figures.sent(from.number, to, to.zone != from.zone, now);
-        double way = zones.wayMs(from.zone, to.zone);
-        if (!zones.reach(from.zone, to.zone) || to.state() == SeatServer.State.VANISHED) {
-            queue.after(CONNECT_MS, () -> from.ended(a, Outcome.CONNECT_FAILED, 0));
+    void sendAttempt(ClientRequest.Attempt attempt) {
+        FleetGateway gateway = attempt.gateway;
+        SimulatedServer server = serversById.get(attempt.host);
+        double nowMs = queue.now();
+        statistics.attemptSent(gateway.number, server, server.zone != gateway.zone, nowMs);
+        double latencyMs = topology.latencyMs(gateway.zone, server.zone);
+        if (!topology.canReach(gateway.zone, server.zone) || server.state() == SimulatedServer.State.UNREACHABLE) {
+            queue.scheduleAfter(CONNECT_TIMEOUT_MS, () -> gateway.attemptEnded(attempt, Outcome.CONNECT_FAILED, 0));
         } else {
-            queue.after(way, () -> reach(a, to, way));
+            queue.scheduleAfter(latencyMs, () -> deliverAttempt(attempt, server, latencyMs));
         }
     }
 
     /** An attempt comes whole to a server. */
-    void reach(Try.Attempt a, SeatServer to, double way) {
-        if (to.state() == SeatServer.State.VANISHED) {
+    void deliverAttempt(ClientRequest.Attempt attempt, SimulatedServer server, double latencyMs) {
+        if (server.state() == SimulatedServer.State.UNREACHABLE) {
             return; // nothing comes back
         }
-        if (to.state() == SeatServer.State.DEAD) {
-            queue.after(way, () -> a.gateway.ended(a, Outcome.CONNECT_FAILED, 0));
+        if (server.state() == SimulatedServer.State.TERMINATED) {
+            queue.scheduleAfter(latencyMs, () -> attempt.gateway.attemptEnded(attempt, Outcome.CONNECT_FAILED, 0));
             return;
         }
-        if (!a.of.counted) {
-            a.of.counted = true;
-            quotas.take(a.of, queue.now());
-            meter.use(a.of.customer, a.of.units, queue.now());
+        if (!attempt.request.quotaCharged) {
+            attempt.request.quotaCharged = true;
+            quotas.requestReachedServer(attempt.request, queue.now());
+            meter.recordUse(attempt.request.customer, attempt.request.units, queue.now());
         }
-        to.take(a, outcome -> {
-            if (zones.reach(a.gateway.zone, to.zone)) {
-                boolean tells = outcome == Outcome.OK || outcome == Outcome.FULL;
-                int used = tells ? meter.told(a.of.customer, queue.now()) : 0;
-                queue.after(way, () -> a.gateway.ended(a, outcome, used));
+        server.accept(attempt, outcome -> {
+            if (topology.canReach(attempt.gateway.zone, server.zone)) {
+                boolean metered = outcome == Outcome.OK || outcome == Outcome.FULL;
+                int meterReading = metered ? meter.reading(attempt.request.customer, queue.now()) : 0;
+                queue.scheduleAfter(latencyMs, () -> attempt.gateway.attemptEnded(attempt, outcome, meterReading));
             }
         });
     }
 
-    void call(
-            FleetGateway from,
+    void callCounter(
+            FleetGateway gateway,
             String name,
             double amount,
-            double lifeMs,
+            double lifetimeMs,
             double timeoutMs,
-            ObjDoubleConsumer<Outcome> end) {
-        counter.call(name, amount, lifeMs, timeoutMs, zones.reach(from.zone, SERVICES_ZONE), end);
+            ObjDoubleConsumer<Outcome> onResult) {
+        counter.call(name, amount, lifetimeMs, timeoutMs, topology.canReach(gateway.zone, SERVICES_ZONE), onResult);
     }
 
     // ---- figures over all processes
 
-    long busyNanos() {
+    long decisionNanos() {
         long sum = 0;
-        for (FleetGateway g : gateways) {
-            sum += g != null && g.alive() ? g.busyNanos() : 0;
+        for (FleetGateway gateway : gateways) {
+            sum += gateway != null && gateway.alive() ? gateway.decisionNanos() : 0;
         }
-        return sum + endedNanos;
+        return sum + endedProcessesNanos;
     }
 
     int gatewaysStarted() {
         return gatewaysStarted;
     }
 
-    void processEnded(HollowGateway gateway) {
-        endedNanos += gateway.busyNanos();
+    void processEnded(SimulatedGateway gateway) {
+        endedProcessesNanos += gateway.decisionNanos();
     }
 
     /** What discovery now tells of the servers. */
-    void changed(List<SeatServer> changed) {
+    void serversChanged(List<SimulatedServer> changedServers) {
         List<Host> hosts = new ArrayList<>();
-        changed.forEach(s -> hosts.add(s.listed()));
-        discovery.change(hosts);
+        changedServers.forEach(server -> hosts.add(server.toHost()));
+        discovery.publish(hosts);
     }
 }
