--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -9,13 +9,13 @@
  * {@code soak} real gateways under faults. Only the command that is asked for loads its classes.
  */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length > 0 && args[0].equals("scale")) {
-            System.exit(deckfall.scale.Scale.run(Arrays.copyOfRange(args, 1, args.length)));
+            System.exit(deckfall.scale.ScaleCommand.run(Arrays.copyOfRange(args, 1, args.length)));
         }
         if (args.length > 0 && args[0].equals("soak")) {
             System.exit(deckfall.soak.Soak.run(Arrays.copyOfRange(args, 1, args.length)));
@@ -27,7 +27,7 @@
             case "wirehost" -> deckfall.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost | scale | soak");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
     }
