--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -109,10 +109,10 @@
     /** Expired quota, in bursts, from which the counter's total is corrected. */
     private static final double MIN_EXPIRED_BURSTS = 1;
 
-    /** Chance of room from which a called-for request's own units are added before it is admitted. */
+    /** Chance of room from which a counter call adds the request's own units before the request is admitted. */
     private static final double LIKELY_ROOM_CHANCE = 0.5;
 
-    /** Lifetime of a counter result or meter reading as evidence, in multiples of the time in which the quota refills one burst. */
+    /** Lifetime of a counter result or meter reading as evidence, in times in which the quota refills a burst. */
     private static final double EVIDENCE_BURSTS = 2;
 
     /** Upper limit of the expected cost of excess, as a share of the admitted worth. */
@@ -240,9 +240,8 @@
 
     // ---- constants: class weights
 
-    // The weights move between classes by partial donation: a class that misses its delay goal takes weight from
-    // classes
-    // that have a surplus. ALPHA, BETA and EPSILON are the names of that algorithm's parameters.
+    // Weight moves between classes by partial donation: a class that misses its delay goal takes weight from classes
+    // with a surplus. ALPHA, BETA and EPSILON are the names of that algorithm's parameters.
 
     /** Weight of the previous average when the mean delay is updated. */
     private static final double ALPHA = 0.7;
