--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -302,7 +302,7 @@
         void timerFired(double now, String token);
 
         /** A probe of a host has ended. */
-        default void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
+        default void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] loadMetrics) {}
 
         /** A message from another gateway has arrived. */
         void peerMessageReceived(double now, int sender, byte[] data);
@@ -317,7 +317,7 @@
         List<CustomerSnapshot> snapshotCustomers(double now);
 
         /** Restores what another process of this gateway knew of customers that this process hasn't seen. */
-        void restoreCustomers(double now, List<CustomerSnapshot> memory);
+        void restoreCustomers(double now, List<CustomerSnapshot> snapshots);
 
         /** Returns how many listed hosts get no request as long as others are available. This is a query. */
         int avoidedHostCount(double now);
@@ -332,7 +332,7 @@
         void cancel(String id, int attempt);
 
         /** Refuses a request; a retry delay of 0 means that none is advised. */
-        void refuse(String id, double retryAfterMs, Refusal why);
+        void refuse(String id, double retryAfterMs, Refusal reason);
 
         /** Responds to a request with an error: it may have run, so a retry may do harm. */
         void fail(String id);
