--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -303,6 +303,9 @@
     /** Smallest number of hosts to compare; more are compared where this gateway's own counts can tell them apart. */
     private static final int MIN_CANDIDATES = 2;
 
+    /** Draws at most for each host to compare, since a slow host is not taken at each draw. */
+    private static final int MAX_DRAWS_PER_CANDIDATE = 16;
+
     /** Further hosts to compare for each attempt in flight. */
     private static final int CANDIDATES_PER_ATTEMPT = 2;
 
@@ -579,6 +582,7 @@
                 + (1 - PRIMARY_OWNER_CAP_SHARE) / customer.spread;
     }
 
+    /** The size of this gateway's bucket of the cap. */
     private double maxCapTokens(CustomerState customer) {
         return customer.plan.capBurst() * capShare(customer);
     }
@@ -751,8 +755,8 @@
                 drawsCounterCall(now, request, admits ? expectedExcessCost(now, request) : roomChance(request));
         if (!callsCounter && admits) adjustAdmissionMargin(request, roomChance(request));
         if (!callsCounter) return admits ? AdmissionVerdict.ADMIT : AdmissionVerdict.REFUSE;
-        request.requestedUnits =
-                roomChance(request) >= LIKELY_ROOM_CHANCE ? units : 0; // added once the request is admitted
+        // If room is unlikely, the units are added once the request is admitted.
+        request.requestedUnits = roomChance(request) >= LIKELY_ROOM_CHANCE ? units : 0;
         request.sampledUnits = admits ? units * (1 / (request.callProbability * callBudget.allowedShare()) - 1) : 0;
         return AdmissionVerdict.ASK_COUNTER;
     }
@@ -999,6 +1003,7 @@
         if (!request.closed) admitOrRefuse(now, request, admits);
     }
 
+    /** Learns from a result of the counter whether the quota had room on this evidence. */
     private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
         CustomerState customer = request.customer;
         admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
@@ -1384,6 +1389,7 @@
         return false;
     }
 
+    /** Sends an attempt of a request to a host; first attempts earn retries. */
     private void sendAttempt(double now, RequestState request, TrackedHost host) {
         Attempt attempt = new Attempt(request, host, now, request.expectedMs());
         if (request.attempts.isEmpty()) {
@@ -1421,7 +1427,7 @@
         }
     }
 
-    /** Ends a request that no host has served. A refusal invites a retry, so it requires that one is safe (rule 2). */
+    /** Ends a request that no host has served. A refusal invites a retry, so it is sent only if one is safe (rule 2). */
     private void finishUnserved(double now, RequestState request) {
         RequestClass spec = request.classState.spec;
         boolean retryIsSafe = request.firstPossibleRun() == null
@@ -1447,7 +1453,7 @@
         customer.openRequests--;
         // The units of a request that was admitted but never sent are returned.
         if (request.attempts.stream().allMatch(attempt -> attempt.neverSent)) {
-            // Subtracted from the unsent units when its first attempt began.
+            // They were subtracted here when the first attempt began.
             customer.unsentUnits += request.attempts.isEmpty() ? 0 : request.details.units();
             charge(now, customer, -request.details.units(), -request.details.units());
             if (request.countedInTotal) addUnreported(customer, -request.details.units());
@@ -1558,7 +1564,7 @@
                         .allMatch(classState -> slowness(now, host, classState) >= UNHEALTHY_SLOWNESS);
     }
 
-    /** Lists the usable hosts anew, so that each event needs only look-ups. */
+    /** Lists the eligible hosts anew, so that each event needs only look-ups. */
     private void refreshHosts(double now) {
         hostsRefreshedAt = now;
         eligibleHosts.clear();
@@ -1603,13 +1609,14 @@
     /** Draws distinct hosts of the subset at random; a slow host is drawn less often, in proportion. */
     private Collection<TrackedHost> drawCandidates(double now, ClassState classState, int candidateCount) {
         LinkedHashSet<TrackedHost> candidates = new LinkedHashSet<>();
-        for (int i = 0; i < candidateCount * MAX_SCANNED && candidates.size() < candidateCount; i++) {
+        for (int i = 0; i < candidateCount * MAX_DRAWS_PER_CANDIDATE && candidates.size() < candidateCount; i++) {
             TrackedHost host = subset.get(random.nextInt(subset.size()));
             if (random.nextDouble() * slowness(now, host, classState) <= 1) candidates.add(host);
         }
         return candidates;
     }
 
+    /** Returns the permitted candidate with the lowest score, or null if there is none. */
     private TrackedHost bestHost(
             double now, RequestState request, Collection<TrackedHost> candidates, int candidateCount) {
         TrackedHost best = null;
@@ -1651,6 +1658,7 @@
                         || request.classState.spec.keyScope().dropsSameKeys(host.info, possibleRun.host.info));
     }
 
+    /** Rule 2: returns whether a further attempt does no harm at a host that the key's scope allows. */
     private boolean isRepeatable(double now, RequestState request, Attempt possibleRun) {
         RequestClass spec = request.classState.spec;
         return possibleRun == null
