--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -243,7 +243,7 @@
 
     private void account(int bytes) {
         waitingBytes += bytes;
-        node.room.take(bytes);
+        node.room.reserve(bytes);
     }
 
     private void dropWaiting() {
@@ -276,7 +276,7 @@
     private void readOn() {
         boolean wanted = incoming != null && !ended
                 ? incoming.wanted()
-                : waitingBytes < (node.room.tight() ? Incoming.SMALL : MOST_AHEAD);
+                : waitingBytes < (node.room.nearlyExhausted() ? Incoming.SMALL : MOST_AHEAD);
         if (channel.config().isAutoRead() != wanted) {
             channel.config().setAutoRead(wanted);
         }
@@ -410,7 +410,7 @@
     }
 
     private boolean refusesAll() {
-        return node.full() || node.room.full() || node.over();
+        return node.full() || node.room.exhausted() || node.over();
     }
 
     private void refuseAtDoor(Request read) {
@@ -508,9 +508,9 @@
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
         prepare(response);
         if (ended || bytes > UNCOUNTED) {
-            node.room.take(bytes); // until a slow client has taken it
+            node.room.reserve(bytes); // until a slow client has taken it
             ChannelFuture sent = channel.writeAndFlush(response);
-            sent.addListener(f -> node.room.give(bytes));
+            sent.addListener(f -> node.room.release(bytes));
             answered(sent);
         } else {
             channel.writeAndFlush(response, channel.voidPromise());
--- a/src/main/java/deckfall/net/Incoming.java
+++ b/src/main/java/deckfall/net/Incoming.java
@@ -31,7 +31,7 @@
     final String uri; // in origin form
     final long declaredBytes; // -1 where chunks tell
     final double sinceMs;
-    private final Room room;
+    private final MemoryBudget room;
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
     private Receiver receiver;
     private Runnable onRoom = () -> {};
@@ -40,7 +40,7 @@
     private boolean spent; // passed on at least in part
     private boolean released;
 
-    Incoming(HttpRequest head, String uri, Room room, double now) {
+    Incoming(HttpRequest head, String uri, MemoryBudget room, double now) {
         this.head = head;
         this.uri = uri;
         this.room = room;
@@ -88,7 +88,7 @@
                 held = PooledByteBufAllocator.DEFAULT.heapBuffer(bytes);
             }
             held.writeBytes(content);
-            room.take(bytes);
+            room.reserve(bytes);
         }
     }
 
@@ -102,14 +102,14 @@
     /** More is held than is kept of a body that is still coming. */
     boolean outgrown() {
         int bytes = held.readableBytes();
-        return bytes >= KEPT || bytes >= SMALL && room.tight();
+        return bytes >= KEPT || bytes >= SMALL && room.nearlyExhausted();
     }
 
     /** Whether more of it can be taken from the client now. */
     boolean wanted() {
         return receiver != null
                 ? receiver.writable()
-                : spent || released || !outgrown() || held.readableBytes() < MOST_HELD && !room.tight();
+                : spent || released || !outgrown() || held.readableBytes() < MOST_HELD && !room.nearlyExhausted();
     }
 
     /** Calls back when more can be taken after it could not. */
@@ -125,7 +125,7 @@
     void passTo(Receiver to) {
         spent = true;
         receiver = to;
-        room.give(held.readableBytes());
+        room.release(held.readableBytes());
         ByteBuf first = held;
         held = Unpooled.EMPTY_BUFFER;
         if (first.isReadable()) {
@@ -150,7 +150,7 @@
     void release() {
         if (!released) {
             released = true;
-            room.give(held.readableBytes());
+            room.release(held.readableBytes());
             held.release();
             held = Unpooled.EMPTY_BUFFER;
         }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -66,7 +66,7 @@
             new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> loopDelay);
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
-    final Room room = new Room(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+    final MemoryBudget room = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
     final Figures figures;
     private final Events module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -391,7 +391,7 @@
     }
 
     private static long held(Node node) throws Exception {
-        return node.loop.submit(node.room::heldBytes).get();
+        return node.loop.submit(node.room::usedBytes).get();
     }
 
     /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -14,7 +14,7 @@
     private static final double DEADLINE = 1000;
     private static final int MOST = 3;
 
-    private final Room room = new Room(1 << 20);
+    private final MemoryBudget room = new MemoryBudget(1 << 20);
     private final OpenRequest request = new OpenRequest(
             new Request("r", DEADLINE, false, "view", 1, "free", 1, 0, 1),
             new Incoming(new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/view"), "/view", room, 0),
