--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -414,7 +414,7 @@
     }
 
     private void refuseAtDoor(Request read) {
-        node.figures.ended(read.requestClass(), Figures.End.OVERLOAD);
+        node.figures.recordResult(read.requestClass(), Metrics.Result.OVERLOAD);
         answer(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -466,7 +466,7 @@
         /** What was asked has left, or could not: also where nobody waits for the answer any more. */
         private void wrote(Exchange x, boolean all) {
             if (all && x instanceof Attempt) {
-                node.figures.dispatched();
+                node.figures.recordDispatch();
             }
             if (exchange != x) {
                 return;
--- a/src/main/java/deckfall/net/Figures.java
+++ b/src/main/java/deckfall/net/Metrics.java
@@ -12,55 +12,55 @@
  * What this process did since its start, for the operator. The event loop of the data path counts, each thing at
  * the one place where it becomes final; any thread may read.
  */
-final class Figures {
-    private static final String PREFIX = "edge_node_";
+final class Metrics {
+    private static final String NAME_PREFIX = "edge_node_";
 
     /** How a request that was taken, or refused at the door, ended for a client that still waited. */
-    enum End {
+    enum Result {
         SUCCESS,
         OVERLOAD,
         ERROR;
 
-        private String figure() {
+        private String metricName() {
             return name().toLowerCase(Locale.ROOT) + "_total";
         }
     }
 
-    private final Map<String, Map<End, LongAdder>> ends = new LinkedHashMap<>();
+    private final Map<String, Map<Result, LongAdder>> results = new LinkedHashMap<>();
     private final LongAdder dispatches = new LongAdder();
     private final LongAdder concurrent = new LongAdder();
     private volatile int targets;
     private volatile int targetsDisabled;
 
-    Figures(List<RequestClass> classes) {
+    Metrics(List<RequestClass> classes) {
         for (RequestClass c : classes) {
-            Map<End, LongAdder> counts = new EnumMap<>(End.class);
-            for (End end : End.values()) {
-                counts.put(end, new LongAdder());
+            Map<Result, LongAdder> counts = new EnumMap<>(Result.class);
+            for (Result result : Result.values()) {
+                counts.put(result, new LongAdder());
             }
-            ends.put(c.name(), counts);
+            results.put(c.name(), counts);
         }
     }
 
-    void ended(String requestClass, End end) {
-        ends.get(requestClass).get(end).increment();
+    void recordResult(String requestClass, Result result) {
+        results.get(requestClass).get(result).increment();
     }
 
     /** An attempt's last byte has left for its host. */
-    void dispatched() {
+    void recordDispatch() {
         dispatches.increment();
     }
 
-    void opened() {
+    void requestOpened() {
         concurrent.increment();
     }
 
-    void closed() {
+    void requestClosed() {
         concurrent.decrement();
     }
 
     /** Requests taken and not yet ended. */
-    long open() {
+    long openRequests() {
         return concurrent.sum();
     }
 
@@ -73,20 +73,20 @@
     /** One line a figure, each ended by a line feed. */
     String text() {
         StringBuilder text = new StringBuilder();
-        for (End end : End.values()) {
-            ends.forEach((name, counts) -> line(
+        for (Result result : Result.values()) {
+            results.forEach((name, counts) -> appendLine(
                     text,
-                    end.figure() + "{type=\"" + name + "\"}",
-                    counts.get(end).sum()));
+                    result.metricName() + "{type=\"" + name + "\"}",
+                    counts.get(result).sum()));
         }
-        line(text, "dispatches_total", dispatches.sum());
-        line(text, "concurrent", open());
-        line(text, "targets", targets);
-        line(text, "targets_disabled", targetsDisabled);
+        appendLine(text, "dispatches_total", dispatches.sum());
+        appendLine(text, "concurrent", openRequests());
+        appendLine(text, "targets", targets);
+        appendLine(text, "targets_disabled", targetsDisabled);
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String figure, long value) {
-        text.append(PREFIX).append(figure).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder text, String name, long value) {
+        text.append(NAME_PREFIX).append(name).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -67,7 +67,7 @@
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
     final MemoryBudget room = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
-    final Figures figures;
+    final Metrics figures;
     private final Events module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
@@ -103,7 +103,7 @@
     Node(NodeConfig config, Function<Actions, Events> maker, Clock clock) {
         this.config = config;
         this.clock = clock;
-        this.figures = new Figures(config.settings().classes());
+        this.figures = new Metrics(config.settings().classes());
         this.module = maker.apply(this);
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
@@ -478,7 +478,7 @@
         Request told = id.equals(r.id()) ? r : due(r, id, 0);
         OpenRequest entry = new OpenRequest(told, message, r.id(), client);
         open.put(id, entry);
-        figures.opened();
+        figures.requestOpened();
         tally.add(Tally.Count.TAKEN);
         client.holds(entry);
         guard(entry);
@@ -579,7 +579,7 @@
             ClientConnection client = close(r);
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
-                figures.ended(r.request.requestClass(), Figures.End.SUCCESS);
+                figures.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
                 client.serve(response);
             }
         }
@@ -603,7 +603,7 @@
     /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
     private ClientConnection close(OpenRequest r) {
         if (!r.closed()) {
-            figures.closed();
+            figures.requestClosed();
         }
         return r.close();
     }
@@ -628,11 +628,11 @@
     }
 
     /** The end of an answer's transfer; {@code end} is null where its client had left. */
-    void transferred(String requestClass, Figures.End end) {
-        figures.closed();
+    void transferred(String requestClass, Metrics.Result end) {
+        figures.requestClosed();
         if (end != null) {
-            figures.ended(requestClass, end);
-            tally.add(end == Figures.End.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
+            figures.recordResult(requestClass, end);
+            tally.add(end == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
         }
     }
 
@@ -738,7 +738,7 @@
             boolean refused = status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
-            figures.ended(r.request.requestClass(), refused ? Figures.End.OVERLOAD : Figures.End.ERROR);
+            figures.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
             client.answer(status, retryAfterMs);
         }
         if (r != null) {
@@ -773,12 +773,12 @@
     // ---- the end
 
     private void drainAndHalt() {
-        log("ending: no new clients, " + figures.open() + " requests open");
+        log("ending: no new clients, " + figures.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
             boolean all = awaitDrained(EXIT_MS);
             loop.submit(this::logTally).await(LAST_WORD_MS);
-            log("ended, " + (all ? "all answered" : figures.open() + " requests still open"));
+            log("ended, " + (all ? "all answered" : figures.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/deckfall/net/Transfer.java
+++ b/src/main/java/deckfall/net/Transfer.java
@@ -50,14 +50,14 @@
 
     void end() {
         if (close()) {
-            client.passed(f -> node.transferred(requestClass, f.isSuccess() ? Figures.End.SUCCESS : null));
+            client.passed(f -> node.transferred(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
         }
     }
 
     /** The host failed: the client must see that its answer is not whole. */
     void cut() {
         if (close()) {
-            node.transferred(requestClass, Figures.End.ERROR);
+            node.transferred(requestClass, Metrics.Result.ERROR);
             client.cut();
         }
     }
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -149,7 +149,7 @@
         for (int i = 0; i < count; i++) {
             assertNotNull(host.next());
         }
-        while (node.figures.open() > 0) {
+        while (node.figures.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
         }
         node.loop
