--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    Incoming upload() {
+    IncomingRequest upload() {
         return owner.message;
     }
 
--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -54,7 +54,7 @@
     private int waitingBytes;
     private Future<?> unseen; // ends the time for which its client's leaving may not be seen
     private boolean lastAnswer; // the connection ends with the answer that is being passed on
-    private Incoming incoming; // until its last byte has come
+    private IncomingRequest incoming; // until its last byte has come
     private OpenRequest current;
     private Transfer transfer;
     private boolean known; // a whole request has come on it
@@ -122,7 +122,7 @@
                 close(CloseReason.SLOW);
             }
         } else if (incoming != null) {
-            double ms = now - incoming.sinceMs;
+            double ms = now - incoming.startedMs;
             double late = known ? ms : now - headSince; // a stranger's time counts from its connecting
             if (late > HEAD_MS
                     && channel.config().isAutoRead()
@@ -199,7 +199,7 @@
         long whole = waiting.stream()
                 .filter(a -> a.message() instanceof LastHttpContent)
                 .count();
-        return (int) whole + (current != null && current.message.whole() ? 1 : 0);
+        return (int) whole + (current != null && current.message.complete() ? 1 : 0);
     }
 
     /**
@@ -275,12 +275,12 @@
     /** Reads on while there is room for what comes; a request read ahead waits as it came. */
     private void readOn() {
         boolean wanted = incoming != null && !ended
-                ? incoming.wanted()
-                : waitingBytes < (node.room.nearlyExhausted() ? Incoming.SMALL : MOST_AHEAD);
+                ? incoming.acceptsMore()
+                : waitingBytes < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MOST_AHEAD);
         if (channel.config().isAutoRead() != wanted) {
             channel.config().setAutoRead(wanted);
         }
-        boolean matters = !wanted && !ended && !(incoming != null && incoming.spent());
+        boolean matters = !wanted && !ended && !(incoming != null && incoming.streamed());
         if (!matters && unseen != null) {
             unseen.cancel(false);
             unseen = null;
@@ -319,8 +319,8 @@
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
-        incoming = new Incoming(head, originForm(head.uri()), node.room, node.clock.now());
-        incoming.whenWanted(this::readOn);
+        incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
+        incoming.onAcceptsMore(this::readOn);
         if (incoming.tooLong()) {
             answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
         } else if (head.headers().contains(HttpHeaderNames.EXPECT)) {
@@ -348,7 +348,7 @@
     }
 
     private void part(HttpContent content) {
-        Incoming message = incoming;
+        IncomingRequest message = incoming;
         if (content.decoderResult().isFailure()) {
             malformed();
             return;
@@ -360,7 +360,7 @@
             incoming = null;
             known = true;
             whole(message);
-        } else if (current == null && message.outgrown()) {
+        } else if (current == null && message.exceedsKeptSize()) {
             take(message);
         }
     }
@@ -375,8 +375,8 @@
         answer(HttpResponseStatus.BAD_REQUEST, 0);
     }
 
-    private void whole(Incoming message) {
-        message.end();
+    private void whole(IncomingRequest message) {
+        message.markComplete();
         if (current != null) { // taken before
             Request read = server.requests().read(message, arrivedAt);
             node.bodyCame(current, read.deadlineMs());
@@ -388,7 +388,7 @@
         }
     }
 
-    private void take(Incoming message) {
+    private void take(IncomingRequest message) {
         Request read = server.requests().read(message, arrivedAt);
         if (read == null) {
             message.release();
@@ -401,7 +401,7 @@
         }
     }
 
-    private void answerUnread(Incoming message) {
+    private void answerUnread(IncomingRequest message) {
         answer(
                 message.head.headers().contains(HeaderNames.ID)
                         ? HttpResponseStatus.BAD_REQUEST
--- a/src/main/java/deckfall/net/DispatchRule.java
+++ b/src/main/java/deckfall/net/DispatchRule.java
@@ -34,7 +34,7 @@
         if (now >= r.deadlineMs) {
             return Verdict.DEADLINE_PASSED;
         }
-        if (r.message.spent()) {
+        if (r.message.streamed()) {
             return Verdict.BODY_SPENT;
         }
         if (attempt >= maxAttempts) {
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -137,7 +137,7 @@
         abstract void ended(Outcome outcome, FullHttpResponse response);
 
         /** Whose body is passed on, where the message is a head alone. */
-        Incoming upload() {
+        IncomingRequest upload() {
             return null;
         }
 
@@ -288,10 +288,10 @@
 
     /** The whole message where its body has come, else the head alone. */
     private HttpRequest attemptMessage(Attempt a) {
-        Incoming message = a.owner.message;
+        IncomingRequest message = a.owner.message;
         HttpRequest from = message.head;
-        HttpRequest to = message.whole()
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri, message.body())
+        HttpRequest to = message.complete()
+                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri, message.retainedBody())
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri);
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
@@ -305,10 +305,10 @@
         if (type != null) {
             h.set(HttpHeaderNames.CONTENT_TYPE, type);
         }
-        if (!message.whole() && message.declaredBytes < 0) {
+        if (!message.complete() && message.declaredBytes < 0) {
             HttpUtil.setTransferEncodingChunked(to, true);
         } else if (!from.method().equals(HttpMethod.GET) || message.hasBody()) {
-            h.set(HttpHeaderNames.CONTENT_LENGTH, message.whole() ? message.receivedBytes() : message.declaredBytes);
+            h.set(HttpHeaderNames.CONTENT_LENGTH, message.complete() ? message.receivedBytes() : message.declaredBytes);
         }
         return to;
     }
@@ -426,12 +426,13 @@
     }
 
     /** One connection to a host. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Transfer.Source, Incoming.Receiver {
+    private final class Connection extends ChannelInboundHandlerAdapter
+            implements Transfer.Source, IncomingRequest.BodyReceiver {
         private final Pool pool;
         private final StrictResponseDecoder decoder = new StrictResponseDecoder();
         private SocketChannel channel;
         private Exchange exchange;
-        private Incoming upload; // whose body is passed on here
+        private IncomingRequest upload; // whose body is passed on here
         private HttpResponse head; // of the answer that is coming
         private ByteBuf body = Unpooled.EMPTY_BUFFER; // what is kept of it
         private Transfer transfer; // where it is no longer kept
@@ -459,7 +460,7 @@
             } else {
                 channel.write(message, channel.voidPromise());
                 upload = x.upload();
-                upload.passTo(this);
+                upload.streamTo(this);
             }
         }
 
@@ -479,12 +480,12 @@
         }
 
         @Override
-        public void part(ByteBuf content) {
+        public void writeBody(ByteBuf content) {
             channel.writeAndFlush(new DefaultHttpContent(content), channel.voidPromise());
         }
 
         @Override
-        public void last() {
+        public void finishBody() {
             Exchange x = exchange;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
                 if (x instanceof Attempt a) {
@@ -502,7 +503,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (upload != null) {
-                upload.resumed();
+                upload.fireAcceptsMore();
             }
         }
 
@@ -539,7 +540,7 @@
         }
 
         private void stopUpload() {
-            Incoming stopped = upload;
+            IncomingRequest stopped = upload;
             upload = null;
             if (stopped != null) {
                 stopped.detach(this);
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -469,8 +469,8 @@
      * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
-    void taken(Request read, Incoming message, ClientConnection client) {
-        Request r = message.whole() ? read : due(read, read.id(), message.dueBytes() / BODY_BYTES_PER_MS);
+    void taken(Request read, IncomingRequest message, ClientConnection client) {
+        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / BODY_BYTES_PER_MS);
         String id = r.id();
         while (open.containsKey(id)) { // the module knows requests by id, and a client may repeat one
             id = r.id() + '#' + ++repeats;
--- a/src/main/java/deckfall/net/OpenRequest.java
+++ b/src/main/java/deckfall/net/OpenRequest.java
@@ -8,7 +8,7 @@
 /** A request in the table: its client, until answered or gone, and its attempts. */
 final class OpenRequest {
     final Request request;
-    final Incoming message; // held until the entry leaves the table
+    final IncomingRequest message; // held until the entry leaves the table
     final String traceId;
     final List<Attempt> attempts = new ArrayList<>(2);
     private ClientConnection client;
@@ -17,7 +17,7 @@
     Future<?> guard;
     double deadlineMs; // moves on while the body is still coming
 
-    OpenRequest(Request request, Incoming message, String traceId, ClientConnection client) {
+    OpenRequest(Request request, IncomingRequest message, String traceId, ClientConnection client) {
         this.request = request;
         this.deadlineMs = request.deadlineMs();
         this.message = message;
--- a/src/main/java/deckfall/net/RequestReader.java
+++ b/src/main/java/deckfall/net/RequestReader.java
@@ -56,7 +56,7 @@
     }
 
     /** The request as the module knows it, or null where it is missing or has malformed what it must say. */
-    Request read(Incoming message, double now) {
+    Request read(IncomingRequest message, double now) {
         HttpHeaders headers = message.head.headers();
         RequestClass requestClass = classes.get(firstPart(message.uri));
         if (requestClass == null || !complete(headers) || !suits(message, requestClass)) {
@@ -100,7 +100,7 @@
     }
 
     /** Whether its method is that of its class, and a class of keyed requests has its key. */
-    private static boolean suits(Incoming message, RequestClass requestClass) {
+    private static boolean suits(IncomingRequest message, RequestClass requestClass) {
         boolean safe = requestClass.effect() == Effect.REPEATABLE;
         boolean keyed = requestClass.effect() == Effect.KEYED;
         return message.head.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)
--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -397,7 +397,8 @@
     /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
     @Test
     void aClientThatLeavesIsSeenBehindAllThatItHasSent() throws Exception {
-        String large = order("long", "b".repeat(Incoming.KEPT + Incoming.SMALL));
+        String large =
+                order("long", "b".repeat(IncomingRequest.MAX_KEPT_BODY_BYTES + IncomingRequest.MAX_SMALL_BODY_BYTES));
         String many = order("many", "b") + order("behind", "b").repeat(64);
         Node node = node(holding(), c -> c);
         for (String sent : List.of(large, many)) {
--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -17,7 +17,8 @@
     private final MemoryBudget room = new MemoryBudget(1 << 20);
     private final OpenRequest request = new OpenRequest(
             new Request("r", DEADLINE, false, "view", 1, "free", 1, 0, 1),
-            new Incoming(new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/view"), "/view", room, 0),
+            new IncomingRequest(
+                    new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/view"), "/view", room, 0),
             "r",
             null);
 
@@ -41,14 +42,14 @@
 
     @Test
     void aBodyThatWasPassedOnIsNotSentAgain() {
-        request.message.passTo(new Incoming.Receiver() {
+        request.message.streamTo(new IncomingRequest.BodyReceiver() {
             @Override
-            public void part(io.netty.buffer.ByteBuf content) {
+            public void writeBody(io.netty.buffer.ByteBuf content) {
                 content.release();
             }
 
             @Override
-            public void last() {}
+            public void finishBody() {}
 
             @Override
             public boolean writable() {
