--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    Transfer begun(HttpResponse head, Transfer.Source source) {
+    ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
         return node.answerBegun(this, head, source);
     }
 }
--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -56,7 +56,7 @@
     private boolean lastAnswer; // the connection ends with the answer that is being passed on
     private IncomingRequest incoming; // until its last byte has come
     private OpenRequest current;
-    private Transfer transfer;
+    private ResponseTransfer transfer;
     private boolean known; // a whole request has come on it
     private boolean busy;
     private boolean keepAlive = true;
@@ -116,7 +116,7 @@
     /** Silence, or a request that never becomes whole: whoever it is may be waiting for a word. */
     void expelIfLate(double now) {
         if (transfer != null) {
-            transfer.cutIfStalled(now);
+            transfer.abortIfStalled(now);
         } else if (dropping) {
             if (now - usedAt > DROP_MS) {
                 close(CloseReason.SLOW);
@@ -446,7 +446,7 @@
     }
 
     /** Passes on the head of an answer whose body comes by and by. */
-    void begin(HttpResponse from, Transfer by) {
+    void begin(HttpResponse from, ResponseTransfer by) {
         HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         for (CharSequence name : List.of(HttpHeaderNames.CONTENT_TYPE, HttpHeaderNames.CONTENT_LENGTH)) {
             String value = from.headers().get(name);
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -142,7 +142,7 @@
         }
 
         /** An answer too long to be kept has begun; null where nobody waits for such a one. */
-        Transfer begun(HttpResponse head, Transfer.Source source) {
+        ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
             return null;
         }
 
@@ -427,7 +427,7 @@
 
     /** One connection to a host. */
     private final class Connection extends ChannelInboundHandlerAdapter
-            implements Transfer.Source, IncomingRequest.BodyReceiver {
+            implements ResponseTransfer.Source, IncomingRequest.BodyReceiver {
         private final Pool pool;
         private final StrictResponseDecoder decoder = new StrictResponseDecoder();
         private SocketChannel channel;
@@ -435,7 +435,7 @@
         private IncomingRequest upload; // whose body is passed on here
         private HttpResponse head; // of the answer that is coming
         private ByteBuf body = Unpooled.EMPTY_BUFFER; // what is kept of it
-        private Transfer transfer; // where it is no longer kept
+        private ResponseTransfer transfer; // where it is no longer kept
         private FullHttpResponse answer; // whole, until all that came with it has been read
         private boolean passedOn; // the same, where it was transferred
         private boolean surplus; // more has come than was asked for
@@ -521,10 +521,10 @@
                         "its connection had been idle for " + (long) idleBeforeMs + " ms");
                 pool.closedEarly(idleBeforeMs);
             }
-            Transfer broken = transfer;
+            ResponseTransfer broken = transfer;
             transfer = null;
             if (broken != null) {
-                broken.cut();
+                broken.abort();
             }
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
         }
@@ -616,7 +616,7 @@
                 return;
             }
             if (transfer != null) {
-                transfer.more(content.content().retain());
+                transfer.write(content.content().retain());
             } else if (bytes > 0) {
                 keep(content.content());
             }
@@ -647,7 +647,7 @@
             }
             exchange.connection = null;
             exchange = null;
-            transfer.more(takeBody());
+            transfer.write(takeBody());
             return true;
         }
 
@@ -657,10 +657,10 @@
                         head.protocolVersion(), head.status(), takeBody(), head.headers(), EmptyHttpHeaders.INSTANCE);
                 return;
             }
-            Transfer done = transfer;
+            ResponseTransfer done = transfer;
             transfer = null;
             passedOn = true;
-            done.end();
+            done.finish();
         }
 
         /**
@@ -675,7 +675,7 @@
                 transfer.flush();
             } else if (passedOn) {
                 passedOn = false;
-                read(true);
+                setReading(true);
                 keepOrClose();
             } else if (response == null) {
                 if (exchange == null && decoder.holdsBytes()) {
@@ -702,7 +702,7 @@
         }
 
         @Override
-        public void read(boolean on) {
+        public void setReading(boolean on) {
             if (channel.config().isAutoRead() != on) {
                 channel.config().setAutoRead(on);
             }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -612,14 +612,15 @@
      * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
      * where no client waits for it. The request counts as open until the transfer ends.
      */
-    Transfer answerBegun(Attempt a, HttpResponse head, Transfer.Source source) {
+    ResponseTransfer answerBegun(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
         if (a.ended) {
             return null;
         }
         a.ended = true;
         OpenRequest r = a.owner;
         ClientConnection client = r.close();
-        Transfer transfer = client == null ? null : new Transfer(this, r.request.requestClass(), client, source);
+        ResponseTransfer transfer =
+                client == null ? null : new ResponseTransfer(this, r.request.requestClass(), client, source);
         if (transfer != null) {
             client.begin(head, transfer);
         }
--- a/src/main/java/deckfall/net/Transfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -3,13 +3,13 @@
 import io.netty.buffer.ByteBuf;
 
 /** An answer on its way from a host to a client, once its first bytes have gone out: it can't be tried again. */
-final class Transfer {
-    private static final double STALL_MS = 20_000; // without a byte from the one or room at the other
+final class ResponseTransfer {
+    private static final double STALL_TIMEOUT_MS = 20_000; // without a byte from the one or room at the other
 
     /** The host's side. */
     interface Source {
         /** Whether the answer is to be read on. */
-        void read(boolean on);
+        void setReading(boolean reading);
 
         /** The client wants no more of it. */
         void abandon();
@@ -19,21 +19,21 @@
     private final String requestClass;
     private final ClientConnection client;
     private final Source source;
-    private double movedAt;
-    private boolean over;
+    private double lastProgressMs;
+    private boolean finished;
 
-    Transfer(Node node, String requestClass, ClientConnection client, Source source) {
+    ResponseTransfer(Node node, String requestClass, ClientConnection client, Source source) {
         this.node = node;
         this.requestClass = requestClass;
         this.client = client;
         this.source = source;
-        this.movedAt = node.clock.now();
+        this.lastProgressMs = node.clock.now();
     }
 
     /** Takes over what it is given. */
-    void more(ByteBuf content) {
-        movedAt = node.clock.now();
-        if (over) {
+    void write(ByteBuf content) {
+        lastProgressMs = node.clock.now();
+        if (finished) {
             content.release();
         } else {
             client.pass(content);
@@ -42,50 +42,50 @@
 
     /** What was passed leaves, and the host is read on as the client takes it. */
     void flush() {
-        if (!over) {
+        if (!finished) {
             client.flush();
-            source.read(client.writable());
+            source.setReading(client.writable());
         }
     }
 
-    void end() {
-        if (close()) {
+    void finish() {
+        if (markFinished()) {
             client.passed(f -> node.transferred(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
         }
     }
 
     /** The host failed: the client must see that its answer is not whole. */
-    void cut() {
-        if (close()) {
+    void abort() {
+        if (markFinished()) {
             node.transferred(requestClass, Metrics.Result.ERROR);
             client.cut();
         }
     }
 
     void clientLeft() {
-        if (close()) {
+        if (markFinished()) {
             node.transferred(requestClass, null);
             source.abandon();
         }
     }
 
     void clientWritable() {
-        if (!over && client.writable()) {
-            movedAt = node.clock.now();
-            source.read(true);
+        if (!finished && client.writable()) {
+            lastProgressMs = node.clock.now();
+            source.setReading(true);
         }
     }
 
-    void cutIfStalled(double now) {
-        if (!over && now - movedAt > STALL_MS) {
+    void abortIfStalled(double now) {
+        if (!finished && now - lastProgressMs > STALL_TIMEOUT_MS) {
             source.abandon();
-            cut();
+            abort();
         }
     }
 
-    private boolean close() {
-        boolean first = !over;
-        over = true;
+    private boolean markFinished() {
+        boolean first = !finished;
+        finished = true;
         return first;
     }
 }
