--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -102,7 +102,7 @@
                 && !ended
                 && incoming == null
                 && waiting.isEmpty()
-                && !decoder.holdsBytes()
+                && !decoder.hasPartialMessage()
                 && !channel.readFails()
                 && channel.allWritten();
     }
@@ -223,7 +223,7 @@
             broken(e);
             return;
         }
-        boolean partial = !busy && decoder.holdsBytes();
+        boolean partial = !busy && decoder.hasPartialMessage();
         if (!partial && known) {
             headSince = 0;
         } else if (headSince == 0) {
@@ -532,7 +532,7 @@
     /** Whether some of a further request has been read already, which would get no answer behind the last one. */
     private boolean moreHasCome() {
         readNow();
-        return !waiting.isEmpty() || decoder.holdsBytes();
+        return !waiting.isEmpty() || decoder.hasPartialMessage();
     }
 
     /** What follows an answer; {@code sent} is needed where it is the last one. */
--- a/src/main/java/deckfall/net/StrictRequestDecoder.java
+++ b/src/main/java/deckfall/net/StrictRequestDecoder.java
@@ -11,14 +11,14 @@
  * the Content-Length beside chunks, as whoever stands in between may not.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
-    private final Begun begun = new Begun();
+    private final MessageProgress messageProgress = new MessageProgress();
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-        int from = in.readerIndex();
-        int had = out.size();
+        int startIndex = in.readerIndex();
+        int sizeBefore = out.size();
         super.decode(ctx, in, out);
-        begun.stepped(in, from, out, had);
+        messageProgress.decoded(in, startIndex, out, sizeBefore);
     }
 
     @Override
@@ -27,7 +27,7 @@
     }
 
     /** True where bytes have come that are no whole message yet. */
-    boolean holdsBytes() {
-        return actualReadableBytes() > 0 || begun.inside();
+    boolean hasPartialMessage() {
+        return actualReadableBytes() > 0 || messageProgress.insideMessage();
     }
 }
--- a/src/main/java/deckfall/net/StrictResponseDecoder.java
+++ b/src/main/java/deckfall/net/StrictResponseDecoder.java
@@ -11,14 +11,14 @@
  * responses ends a name at the first blank, so a line without a colon passes there as a header without a value.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
-    private final Begun begun = new Begun();
+    private final MessageProgress begun = new MessageProgress();
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
         int from = in.readerIndex();
         int had = out.size();
         super.decode(ctx, in, out);
-        begun.stepped(in, from, out, had);
+        begun.decoded(in, from, out, had);
     }
 
     @Override
@@ -31,6 +31,6 @@
 
     /** True where bytes have come that are no whole message yet. */
     boolean holdsBytes() {
-        return actualReadableBytes() > 0 || begun.inside();
+        return actualReadableBytes() > 0 || begun.insideMessage();
     }
 }
