--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -30,7 +30,7 @@
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
     private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
     private final AtomicInteger open = new AtomicInteger();
-    private final ClientLimits limits;
+    private final ConnectionLimits limits;
     private AcceptRetry acceptRetry; // the present listener's
     private RetryingServerSocketChannel listener;
     private double stirredAt;
@@ -40,7 +40,7 @@
     ClientServer(Node node) {
         this.node = node;
         requests = new RequestReader(node.config.settings());
-        limits = new ClientLimits(node.config.sockets());
+        limits = new ConnectionLimits(node.config.sockets());
     }
 
     /** Buffers that grow with what comes, from little. */
@@ -153,11 +153,11 @@
 
     /** Whether clients hold more than their share: connections end with their next answer. */
     boolean crowded() {
-        return held() > limits.usual();
+        return held() > limits.maxKeepAlive();
     }
 
     private int mostHeld() {
-        return limits.most(node.hostsHeld());
+        return limits.maxClients(node.hostsHeld());
     }
 
     /** What a client's message is read with. */
@@ -223,7 +223,7 @@
             c.expelIfLate(now);
         }
         if (crowded()) {
-            shed(null, held() - limits.usual());
+            shed(null, held() - limits.maxKeepAlive());
         }
     }
 }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -79,13 +79,13 @@
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Bootstrap bootstrap;
     private final int maxConnections;
-    private final ClientLimits limits;
+    private final ConnectionLimits limits;
     private volatile int connections; // changed on the event loop alone
 
     HostClient(Node node) {
         this.node = node;
         this.maxConnections = most(node.config.sockets());
-        this.limits = new ClientLimits(node.config.sockets());
+        this.limits = new ConnectionLimits(node.config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
@@ -98,7 +98,7 @@
 
     /** The most connections to hosts, where there are so many descriptors and clients hold all that they may. */
     static int most(int sockets) {
-        int left = sockets - ClientLimits.usual(sockets) - reserve(sockets);
+        int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - reserve(sockets);
         return (int) Math.min(sockets * SOCKET_SHARE, left);
     }
 
@@ -266,7 +266,7 @@
 
     /** Makes room for one more connection at the cost of one that is idle somewhere. */
     private boolean room() {
-        int most = Math.min(maxConnections, limits.mostHosts(node.clientsHeld()));
+        int most = Math.min(maxConnections, limits.maxHosts(node.clientsHeld()));
         if (held() < most) {
             return true;
         }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -654,7 +654,7 @@
     @Test
     void aNewConnectionIsAnsweredWhileAnotherProcessHoldsTheClientsShare(@TempDir Path folder) throws Exception {
         Node node = nodeBefore(host(NodeTest::echo));
-        int share = ClientLimits.usual(1024);
+        int share = ConnectionLimits.maxKeepAlive(1024);
         SiblingFiles.Note crowded = new SiblingFiles.Note(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
         new SiblingFiles(folder, 1).write(crowded);
         SiblingWatch watch = node.watchSiblings(folder);
@@ -993,7 +993,7 @@
     @Test
     void descriptorsAreLeftForAllElse() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
-            int left = sockets - ClientLimits.usual(sockets) - HostClient.most(sockets);
+            int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.most(sockets);
             assertTrue(left >= HostClient.RESERVE, left + " of " + sockets);
         }
         assertTrue(HostClient.most(20) > 1);
