--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -499,14 +499,14 @@
     }
 
     private void guard(OpenRequest r) {
-        r.guard = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
+        r.deadlineTimer = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come that was taken before. */
     void bodyCame(OpenRequest r, double deadlineMs) {
         r.deadlineMs = deadlineMs;
         if (!r.closed()) {
-            r.guard.cancel(false);
+            r.deadlineTimer.cancel(false);
             guard(r);
         }
     }
@@ -590,7 +590,7 @@
     private void finished(Attempt a, Outcome outcome, HttpResponse response) {
         tally.attempt(outcome);
         OpenRequest r = a.owner;
-        r.out--;
+        r.attemptsInFlight--;
         boolean closed = r.closed();
         double took = clock.now() - a.sentAt;
         double[] report = response == null ? NO_REPORT : hosts.report(response);
@@ -638,8 +638,8 @@
     }
 
     private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.out == 0 && open.remove(r.request.id(), r)) {
-            r.guard.cancel(false);
+        if (r.closed() && r.attemptsInFlight == 0 && open.remove(r.request.id(), r)) {
+            r.deadlineTimer.cancel(false);
             r.message.release();
         }
     }
@@ -676,7 +676,7 @@
         double now = clock.now();
         Attempt a = new Attempt(this, r, host, now);
         r.attempts.add(a);
-        r.out++;
+        r.attemptsInFlight++;
         if (!maySend(a)) {
             return;
         }
--- a/src/main/java/deckfall/net/OpenRequest.java
+++ b/src/main/java/deckfall/net/OpenRequest.java
@@ -13,8 +13,8 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     private ClientConnection client;
     private boolean closed;
-    int out; // attempts that have not ended
-    Future<?> guard;
+    int attemptsInFlight; // attempts that have not ended
+    Future<?> deadlineTimer;
     double deadlineMs; // moves on while the body is still coming
 
     OpenRequest(Request request, IncomingRequest message, String traceId, ClientConnection client) {
@@ -36,9 +36,9 @@
 
     /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
     ClientConnection close() {
-        ClientConnection owed = client;
+        ClientConnection waitingClient = client;
         closed = true;
         client = null;
-        return owed;
+        return waitingClient;
     }
 }
