--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -157,8 +157,8 @@
         }
     }
 
-    private static Operator operator(NodeConfig config, Node node) throws IOException {
-        Operator operator = new Operator(config.operator(), node.operations());
+    private static OperatorServer operator(NodeConfig config, Node node) throws IOException {
+        OperatorServer operator = new OperatorServer(config.operator(), node.operations());
         operator.start();
         return operator;
     }
@@ -423,15 +423,15 @@
     }
 
     /** What an operator may ask of this node. */
-    Operator.Gateway operations() {
-        return new Operator.Gateway() {
+    OperatorServer.Commands operations() {
+        return new OperatorServer.Commands() {
             @Override
-            public String closedBecause() {
+            public String notReadyReason() {
                 return !serving ? "not ready yet" : drain.on() ? "draining" : null;
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return figures.text();
             }
 
--- a/src/main/java/deckfall/net/Operator.java
+++ b/src/main/java/deckfall/net/OperatorServer.java
@@ -23,21 +23,21 @@
  * The operator's address: one line a connection, one answer. It has an event loop of its own, so that a busy data
  * path can't delay it, and it waits for nothing: what a call sets going goes on after its answer.
  */
-final class Operator {
-    private static final int MAX_LINE = 256;
-    private static final int MAX_CALLERS = 16; // beyond this the one that has waited longest gives way
-    private static final long PATIENCE_MS = 10_000; // for a caller to complete its line
+final class OperatorServer {
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int MAX_CONNECTIONS = 16; // beyond this the one that has waited longest gives way
+    private static final long LINE_TIMEOUT_MS = 10_000; // for a caller to complete its line
     private static final int BACKLOG = 64;
-    private static final String YES = "ACK";
-    private static final String NO = "NAK ";
-    private static final String END_OF_FIGURES = "--";
+    private static final String ACK = "ACK";
+    private static final String NAK_PREFIX = "NAK ";
+    private static final String END_OF_METRICS = "--";
 
     /** What a caller can ask of a gateway, from any thread. */
-    interface Gateway {
+    interface Commands {
         /** Null once clients are taken, else why they are not. */
-        String closedBecause();
+        String notReadyReason();
 
-        String figures();
+        String metrics();
 
         void quiesce();
 
@@ -45,14 +45,14 @@
     }
 
     private final InetSocketAddress address;
-    private final Gateway gateway;
+    private final Commands commands;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final LinkedHashSet<Channel> callers = new LinkedHashSet<>(); // longest waiting first
+    private final LinkedHashSet<Channel> connections = new LinkedHashSet<>(); // longest waiting first
     private Channel listener;
 
-    Operator(InetSocketAddress address, Gateway gateway) {
+    OperatorServer(InetSocketAddress address, Commands commands) {
         this.address = address;
-        this.gateway = gateway;
+        this.commands = commands;
     }
 
     void start() throws IOException {
@@ -66,7 +66,10 @@
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel ch) {
-                            ch.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE, true, true), new Caller());
+                            ch.pipeline()
+                                    .addLast(
+                                            new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
+                                            new ConnectionHandler());
                         }
                     })
                     .bind(address)
@@ -89,70 +92,71 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    private String answer(String call) {
-        switch (call) {
+    private String execute(String command) {
+        switch (command) {
             case "health":
-                String why = gateway.closedBecause();
-                return why == null ? YES : NO + why;
+                String reason = commands.notReadyReason();
+                return reason == null ? ACK : NAK_PREFIX + reason;
             case "counters":
-                return gateway.figures() + END_OF_FIGURES;
+                return commands.metrics() + END_OF_METRICS;
             case "quiesce":
-                gateway.quiesce();
-                return YES;
+                commands.quiesce();
+                return ACK;
             case "resume":
-                gateway.resume();
-                return YES;
+                commands.resume();
+                return ACK;
             default:
-                return NO + "unknown call; known are health, counters, quiesce and resume";
+                return NAK_PREFIX + "unknown call; known are health, counters, quiesce and resume";
         }
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private Future<?> patience;
-        private boolean answered;
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private Future<?> lineTimeout;
+        private boolean responded;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (callers.size() >= MAX_CALLERS) {
-                Channel longest = callers.iterator().next();
-                callers.remove(longest);
-                longest.close();
+            if (connections.size() >= MAX_CONNECTIONS) {
+                Channel oldest = connections.iterator().next();
+                connections.remove(oldest);
+                oldest.close();
             }
-            callers.add(ctx.channel());
-            patience = ctx.executor()
+            connections.add(ctx.channel());
+            lineTimeout = ctx.executor()
                     .schedule(
                             () -> {
-                                end(ctx, NO + "no whole line in time");
+                                respondAndClose(ctx, NAK_PREFIX + "no whole line in time");
                                 ctx.close(); // also where the answer is not being read
                             },
-                            PATIENCE_MS,
+                            LINE_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            end(ctx, answer(line.toString(StandardCharsets.US_ASCII).trim()));
+            respondAndClose(
+                    ctx, execute(line.toString(StandardCharsets.US_ASCII).trim()));
         }
 
-        private void end(ChannelHandlerContext ctx, String answer) {
-            if (answered) {
+        private void respondAndClose(ChannelHandlerContext ctx, String response) {
+            if (responded) {
                 return; // one line a connection: what follows it is not read
             }
-            answered = true;
-            ctx.writeAndFlush(Unpooled.copiedBuffer(answer + '\n', StandardCharsets.US_ASCII))
+            responded = true;
+            ctx.writeAndFlush(Unpooled.copiedBuffer(response + '\n', StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            patience.cancel(false);
-            callers.remove(ctx.channel());
+            lineTimeout.cancel(false);
+            connections.remove(ctx.channel());
         }
 
         /** A line beyond the bound, or a connection that broke. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            end(ctx, NO + "no line of at most " + MAX_LINE + " bytes");
+            respondAndClose(ctx, NAK_PREFIX + "no line of at most " + MAX_LINE_BYTES + " bytes");
         }
     }
 }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -821,15 +821,15 @@
     void quiesceSaysNoAndEmptiesAndResumeTakesItBackAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeBefore(host);
-        Operator.Gateway operations = node.operations();
-        assertNull(operations.closedBecause());
+        OperatorServer.Commands operations = node.operations();
+        assertNull(operations.notReadyReason());
         Client kept = client(node);
         assertEquals(200, kept.send(view("k", Sockets.PATIENCE_MS)).receive().status());
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH).receive().status());
         operations.quiesce();
         operations.quiesce(); // once more changes nothing
-        assertEquals("draining", operations.closedBecause());
+        assertEquals("draining", operations.notReadyReason());
         assertEquals(503, client(node).send(HEALTH).receive().status());
         Message late = kept.send(view("l", Sockets.PATIENCE_MS)).receive();
         assertEquals(200, late.status());
@@ -845,7 +845,7 @@
         assertNull(back.send(HEALTH).receive().header("Connection"));
         operations.quiesce();
         operations.resume(); // before the first sweep
-        assertNull(operations.closedBecause());
+        assertNull(operations.notReadyReason());
         assertEquals(200, back.send(HEALTH).receive().status());
     }
 
@@ -885,7 +885,7 @@
     }
 
     private static long figure(Node node, String name) {
-        for (String line : node.operations().figures().split("\n")) {
+        for (String line : node.operations().metrics().split("\n")) {
             if (line.startsWith("edge_node_" + name + " ")) {
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
             }
--- a/src/test/java/deckfall/net/OperatorTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -16,36 +16,37 @@
 import org.junit.jupiter.api.Test;
 
 /** What an operator's caller gets, however other callers behave. */
-class OperatorTest {
+class OperatorServerTest {
     private static final int CROWD = 100;
 
     private final List<String> asked = new CopyOnWriteArrayList<>();
     private volatile String closedBecause;
-    private Operator operator;
+    private OperatorServer operator;
 
     @BeforeEach
     void start() throws IOException {
-        operator = new Operator(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Operator.Gateway() {
-            @Override
-            public String closedBecause() {
-                return closedBecause;
-            }
+        operator = new OperatorServer(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new OperatorServer.Commands() {
+                    @Override
+                    public String notReadyReason() {
+                        return closedBecause;
+                    }
 
-            @Override
-            public String figures() {
-                return "a 1\nb 2\n";
-            }
+                    @Override
+                    public String metrics() {
+                        return "a 1\nb 2\n";
+                    }
 
-            @Override
-            public void quiesce() {
-                asked.add("quiesce");
-            }
+                    @Override
+                    public void quiesce() {
+                        asked.add("quiesce");
+                    }
 
-            @Override
-            public void resume() {
-                asked.add("resume");
-            }
-        });
+                    @Override
+                    public void resume() {
+                        asked.add("resume");
+                    }
+                });
         operator.start();
     }
 
