--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -123,7 +123,7 @@
         try {
             NodeConfig config = config(configFile);
             times.ended("configuration");
-            ServerSocketChannel inherited = Inherited.listener();
+            ServerSocketChannel inherited = InheritedListener.fromEnvironment();
             Node node = StartStep.retried("no event loop", () -> new Node(config));
             node.configuredBy(Path.of(configFile));
             if (config.operator() != null) { // it says no until clients are taken
