--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -410,7 +410,7 @@
     }
 
     boolean draining() {
-        return drain.on();
+        return drain.active();
     }
 
     /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
@@ -427,7 +427,7 @@
         return new OperatorServer.Commands() {
             @Override
             public String notReadyReason() {
-                return !serving ? "not ready yet" : drain.on() ? "draining" : null;
+                return !serving ? "not ready yet" : drain.active() ? "draining" : null;
             }
 
             @Override
@@ -462,7 +462,7 @@
 
     /** Whether clients may be let in. */
     boolean ready() {
-        return serving && !drain.on() && !rehearsing;
+        return serving && !drain.active() && !rehearsing;
     }
 
     /**
@@ -797,12 +797,12 @@
             return;
         }
         drain.begin();
-        double latest = clock.now() + Drain.acceptByMs(config.settings());
+        double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
                 () -> stopAccepting(latest),
-                Drain.ACCEPT_ON_MS + POLL_MS,
+                Drain.MIN_ACCEPT_MS + POLL_MS,
                 TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
-        loop.schedule(this::answerAll, Drain.answerByMs(config.settings()), TimeUnit.MILLISECONDS);
+        loop.schedule(this::answerAll, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
 
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
@@ -834,7 +834,7 @@
     private void stopAccepting(double latest) {
         boolean leftToOther = clients.sharesListener() && processes > 1;
         boolean allAccepted = leftToOther || clients.acceptWaiting();
-        boolean stirs = !leftToOther && clock.now() - clients.stirredAt() < Drain.CROSSING_MS;
+        boolean stirs = !leftToOther && clock.now() - clients.stirredAt() < Drain.RECONNECT_MS;
         if ((stirs || !allAccepted) && clock.now() < latest) {
             loop.schedule(() -> stopAccepting(latest), POLL_MS, TimeUnit.MILLISECONDS);
             return;
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -55,12 +55,13 @@
     void allIsAnsweredBeforeTheKillWhateverTheDeadlines() throws Exception {
         for (int longest : new int[] {100, 400, 900, 2500, 3000, 15_000}) {
             double kill = Math.min(3000, longest) + KILLED_MS;
-            long answerBy = Drain.answerByMs(settings(longest));
+            long answerBy = Drain.answerDeadlineMs(settings(longest));
             assertTrue(answerBy <= kill - 200, longest + ": " + answerBy);
             assertTrue(answerBy >= kill / 2, longest + ": " + answerBy);
-            assertTrue(Drain.acceptByMs(settings(longest)) <= Math.max(Drain.ACCEPT_ON_MS, answerBy), "" + longest);
+            assertTrue(
+                    Drain.acceptDeadlineMs(settings(longest)) <= Math.max(Drain.MIN_ACCEPT_MS, answerBy), "" + longest);
         }
-        assertEquals(3400, Drain.answerByMs(settings(15_000)));
+        assertEquals(3400, Drain.answerDeadlineMs(settings(15_000)));
     }
 
     private Node node(String... entries) throws IOException {
