--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -287,7 +287,7 @@
     }
 
     private void logTally() {
-        String line = tally.take();
+        String line = tally.takeLine();
         if (line != null && !rehearsing) {
             log(line);
         }
@@ -415,7 +415,7 @@
 
     /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
     void connectionEnded(CloseReason why, int unanswered) {
-        tally.closed(why);
+        tally.addClose(why);
         if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
             tally.add(Tally.Count.CLOSED_UNANSWERED);
             log("defect: " + unanswered + " requests unanswered on a connection closed as " + why);
@@ -588,7 +588,7 @@
 
     /** What the module learns of an attempt; the head of the answer, where there is one, may tell more. */
     private void finished(Attempt a, Outcome outcome, HttpResponse response) {
-        tally.attempt(outcome);
+        tally.addAttempt(outcome);
         OpenRequest r = a.owner;
         r.attemptsInFlight--;
         boolean closed = r.closed();
@@ -657,7 +657,7 @@
     }
 
     void counted(String name, Outcome outcome, double total) {
-        tally.call(outcome);
+        tally.addCounterCall(outcome);
         tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
@@ -723,7 +723,7 @@
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
         if (open.containsKey(id)) {
-            tally.refusal(why);
+            tally.addRefusal(why);
         }
         answer(open.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
--- a/src/test/java/deckfall/net/TallyTest.java
+++ b/src/test/java/deckfall/net/TallyTest.java
@@ -12,14 +12,14 @@
     @Test
     void aPeriodIsOneLineAndTheNextStartsFromNothing() {
         Tally tally = new Tally();
-        assertNull(tally.take());
+        assertNull(tally.takeLine());
         tally.add(Tally.Count.TAKEN);
         tally.add(Tally.Count.TAKEN);
         tally.note(Tally.Count.UNREADABLE, "id", "host", "why");
-        tally.attempt(Outcome.RESET);
-        tally.call(Outcome.TIMEOUT);
-        tally.refusal(Refusal.QUOTA);
-        assertEquals("tally: TAKEN=2 UNREADABLE=1 attempts_RESET=1 calls_TIMEOUT=1 refused_QUOTA=1", tally.take());
-        assertNull(tally.take());
+        tally.addAttempt(Outcome.RESET);
+        tally.addCounterCall(Outcome.TIMEOUT);
+        tally.addRefusal(Refusal.QUOTA);
+        assertEquals("tally: TAKEN=2 UNREADABLE=1 attempts_RESET=1 calls_TIMEOUT=1 refused_QUOTA=1", tally.takeLine());
+        assertNull(tally.takeLine());
     }
 }
