--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -77,7 +77,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        node.loopDelay.handledMs();
+        node.loopDelay.observeDelayMs();
         server.opened(this);
         usedAt = node.clock.now();
         headSince = usedAt; // a stranger's time counts from its connecting
@@ -189,7 +189,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        double delayMs = Math.max(node.loopDelay.handledMs(), channel.readDelayMs());
+        double delayMs = Math.max(node.loopDelay.observeDelayMs(), channel.readDelayMs());
         waiting.add(new Arrival((HttpObject) message, node.clock.now() - delayMs));
         account(bytes(message));
     }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -557,7 +557,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            node.loopDelay.handledMs();
+            node.loopDelay.observeDelayMs();
             try {
                 HttpObject object = (HttpObject) message;
                 if (exchange == null && transfer == null || answer != null) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -61,7 +61,7 @@
 
     final NodeConfig config;
     final Clock clock;
-    final LoopDelay loopDelay = new LoopDelay();
+    final EventLoopLag loopDelay = new EventLoopLag();
     final NioEventLoopGroup group =
             new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> loopDelay);
     final EventLoop loop = group.next();
@@ -306,7 +306,7 @@
             return;
         }
         telling = true;
-        loopDelay.handledMs(); // a timer's turn has no I/O
+        loopDelay.observeDelayMs(); // a timer's turn has no I/O
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
                 try {
