--- a/src/main/java/deckfall/net/EventLoopLag.java
+++ b/src/main/java/deckfall/net/EventLoopLag.java
@@ -22,7 +22,7 @@
     private long previousPollNanos; // by when the turn before had looked for I/O
 
     EventLoopLag() {
-        EventLoopLag(System::nanoTime);
+        this(System::nanoTime);
     }
 
     EventLoopLag(LongSupplier clockNanos) {
