--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -403,7 +403,7 @@
 
     private void answerUnread(IncomingRequest message) {
         answer(
-                message.head.headers().contains(HeaderNames.ID)
+                message.head.headers().contains(HeaderNames.TRACE_ID)
                         ? HttpResponseStatus.BAD_REQUEST
                         : HttpResponseStatus.NOT_FOUND,
                 0);
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -295,11 +295,11 @@
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri);
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(HeaderNames.ID, a.owner.traceId);
-        h.set(HeaderNames.EXPIRES, Long.toString((long) Math.max(1, a.owner.deadlineMs - node.clock.now())));
-        String key = from.headers().get(HeaderNames.KEY);
+        h.set(HeaderNames.TRACE_ID, a.owner.traceId);
+        h.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long) Math.max(1, a.owner.deadlineMs - node.clock.now())));
+        String key = from.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (key != null) {
-            h.set(HeaderNames.KEY, key);
+            h.set(HeaderNames.IDEMPOTENCY_KEY, key);
         }
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
--- a/src/main/java/deckfall/net/RequestReader.java
+++ b/src/main/java/deckfall/net/RequestReader.java
@@ -64,15 +64,15 @@
         }
         try {
             long customer = Long.parseLong(headers.get(HeaderNames.CUSTOMER), HEX);
-            long left = Integer.parseInt(headers.get(HeaderNames.EXPIRES));
+            long left = Integer.parseInt(headers.get(HeaderNames.EXPIRES_IN_MS));
             Quota quota = Quota.parse(headers.get(HeaderNames.QUOTA));
             if (customer < 0 || customer >= CUSTOMER_END || left <= 0 || !quota.valid()) {
                 return null;
             }
             return new Request(
-                    headers.get(HeaderNames.ID),
+                    headers.get(HeaderNames.TRACE_ID),
                     Node.deadline(now, left),
-                    headers.contains(HeaderNames.RETRY),
+                    headers.contains(HeaderNames.SECOND_TRY),
                     requestClass.name(),
                     customer,
                     headers.get(HeaderNames.PLAN),
@@ -86,7 +86,7 @@
 
     /** Whether all headers are there that a request needs, of the right length, and its plan is known. */
     private boolean complete(HttpHeaders headers) {
-        String id = headers.get(HeaderNames.ID);
+        String id = headers.get(HeaderNames.TRACE_ID);
         String customer = headers.get(HeaderNames.CUSTOMER);
         String plan = headers.get(HeaderNames.PLAN);
         boolean planned = plans.isEmpty() || plan != null && plans.contains(plan);
@@ -95,7 +95,7 @@
                 && identified
                 && customer != null
                 && customer.length() == CUSTOMER_DIGITS
-                && headers.contains(HeaderNames.EXPIRES)
+                && headers.contains(HeaderNames.EXPIRES_IN_MS)
                 && headers.contains(HeaderNames.QUOTA);
     }
 
@@ -104,7 +104,7 @@
         boolean safe = requestClass.effect() == Effect.REPEATABLE;
         boolean keyed = requestClass.effect() == Effect.KEYED;
         return message.head.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)
-                && (!keyed || message.head.headers().contains(HeaderNames.KEY));
+                && (!keyed || message.head.headers().contains(HeaderNames.IDEMPOTENCY_KEY));
     }
 
     private static String firstPart(String uri) {
