--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -138,7 +138,7 @@
         readNow();
         next(); // what has been read is a request
         if (incoming != null && !ended) {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+            respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         } else if (!busy && !ended) {
             ended = true;
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER) // behind all answers that still wait
@@ -154,7 +154,7 @@
         if (left != null) {
             node.clientLeft(left); // its body will not become whole, or nothing shows whether its client waits
         }
-        answer(status, 0);
+        respond(status, 0);
     }
 
     @Override
@@ -260,7 +260,7 @@
             account(-bytes(message));
             try {
                 if (message instanceof HttpRequest head) {
-                    begin(head);
+                    beginResponse(head);
                 }
                 if (message instanceof HttpContent content && incoming != null) {
                     part(content);
@@ -304,25 +304,25 @@
     }
 
     /** Whether the client has closed its connection, also where the loop has been too busy to hear of it. */
-    boolean gone() {
+    boolean closedByClient() {
         readNow();
         return !channel.isActive();
     }
 
-    private void begin(HttpRequest head) {
+    private void beginResponse(HttpRequest head) {
         busy = true;
         server.idle(this, false);
         oldVersion = head.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
         if (head.decoderResult().isFailure() || !framed(head)) {
             keepAlive = false; // where the next request would begin is not known
-            answer(HttpResponseStatus.BAD_REQUEST, 0);
+            respond(HttpResponseStatus.BAD_REQUEST, 0);
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
         incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
         incoming.onAcceptsMore(this::readOn);
         if (incoming.tooLong()) {
-            answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
+            respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
         } else if (head.headers().contains(HttpHeaderNames.EXPECT)) {
             expected(head);
         }
@@ -331,7 +331,7 @@
     /** Answers before the body has come, if only by the word to send it. */
     private void expected(HttpRequest head) {
         if (!HttpUtil.is100ContinueExpected(head)) {
-            answer(HttpResponseStatus.EXPECTATION_FAILED, 0);
+            respond(HttpResponseStatus.EXPECTATION_FAILED, 0);
             return;
         }
         Request read = server.requests().read(incoming, arrivedAt);
@@ -372,7 +372,7 @@
         if (left != null) {
             node.clientLeft(left);
         }
-        answer(HttpResponseStatus.BAD_REQUEST, 0);
+        respond(HttpResponseStatus.BAD_REQUEST, 0);
     }
 
     private void whole(IncomingRequest message) {
@@ -382,7 +382,7 @@
             node.bodyCame(current, read.deadlineMs());
         } else if (message.uri.equals(READY)) {
             message.release();
-            answer(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+            respond(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         } else {
             take(message);
         }
@@ -402,7 +402,7 @@
     }
 
     private void answerUnread(IncomingRequest message) {
-        answer(
+        respond(
                 message.head.headers().contains(HeaderNames.TRACE_ID)
                         ? HttpResponseStatus.BAD_REQUEST
                         : HttpResponseStatus.NOT_FOUND,
@@ -415,7 +415,7 @@
 
     private void refuseAtDoor(Request read) {
         node.figures.recordResult(read.requestClass(), Metrics.Result.OVERLOAD);
-        answer(
+        respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
     }
@@ -430,12 +430,12 @@
         return known;
     }
 
-    void holds(OpenRequest r) {
+    void setOpenRequest(OpenRequest r) {
         current = r;
     }
 
     /** Passes a host's answer on as it came. */
-    void serve(FullHttpResponse from) {
+    void sendResponse(FullHttpResponse from) {
         FullHttpResponse to = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
@@ -446,7 +446,7 @@
     }
 
     /** Passes on the head of an answer whose body comes by and by. */
-    void begin(HttpResponse from, ResponseTransfer by) {
+    void beginResponse(HttpResponse from, ResponseTransfer by) {
         HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         for (CharSequence name : List.of(HttpHeaderNames.CONTENT_TYPE, HttpHeaderNames.CONTENT_LENGTH)) {
             String value = from.headers().get(name);
@@ -465,7 +465,7 @@
     }
 
     /** Takes over what it is given. */
-    void pass(ByteBuf content) {
+    void writeContent(ByteBuf content) {
         channel.write(new DefaultHttpContent(content), channel.voidPromise());
     }
 
@@ -478,15 +478,15 @@
     }
 
     /** The answer that was passed on is whole. */
-    void passed(ChannelFutureListener sent) {
+    void finishResponse(ChannelFutureListener listener) {
         transfer = null;
-        ChannelFuture last = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        last.addListener(sent);
-        answered(last);
+        ChannelFuture lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+        lastWrite.addListener(listener);
+        answered(lastWrite);
     }
 
     /** The rest of the answer will not come: a reset is the one end that nobody takes for a whole answer. */
-    void cut() {
+    void reset() {
         transfer = null;
         if (channel.isActive()) {
             channel.config().setSoLinger(0);
@@ -494,7 +494,7 @@
         close(CloseReason.CUT_OFF);
     }
 
-    void answer(HttpResponseStatus status, double retryAfterMs) {
+    void respond(HttpResponseStatus status, double retryAfterMs) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         if (retryAfterMs > 0) {
             response.headers()
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -480,7 +480,7 @@
         open.put(id, entry);
         figures.requestOpened();
         tally.add(Tally.Count.TAKEN);
-        client.holds(entry);
+        client.setOpenRequest(entry);
         guard(entry);
         tell((now, m) -> m.requestReceived(now, told));
     }
@@ -580,7 +580,7 @@
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
                 figures.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
-                client.serve(response);
+                client.sendResponse(response);
             }
         }
         finished(a, outcome, response);
@@ -622,7 +622,7 @@
         ResponseTransfer transfer =
                 client == null ? null : new ResponseTransfer(this, r.request.requestClass(), client, source);
         if (transfer != null) {
-            client.begin(head, transfer);
+            client.beginResponse(head, transfer);
         }
         finished(a, Outcome.OK, head);
         return transfer;
@@ -740,7 +740,7 @@
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
             figures.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
-            client.answer(status, retryAfterMs);
+            client.respond(status, retryAfterMs);
         }
         if (r != null) {
             forgetIfOver(r);
--- a/src/main/java/deckfall/net/OpenRequest.java
+++ b/src/main/java/deckfall/net/OpenRequest.java
@@ -31,7 +31,7 @@
 
     /** Whether the client that is still owed an answer has closed its connection by now. */
     boolean clientGone() {
-        return client != null && client.gone();
+        return client != null && client.closedByClient();
     }
 
     /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -36,7 +36,7 @@
         if (finished) {
             content.release();
         } else {
-            client.pass(content);
+            client.writeContent(content);
         }
     }
 
@@ -50,7 +50,7 @@
 
     void finish() {
         if (markFinished()) {
-            client.passed(f -> node.transferred(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
+            client.finishResponse(f -> node.transferred(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
         }
     }
 
@@ -58,7 +58,7 @@
     void abort() {
         if (markFinished()) {
             node.transferred(requestClass, Metrics.Result.ERROR);
-            client.cut();
+            client.reset();
         }
     }
 
