--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -521,7 +521,7 @@
     /** Settles whether the connection goes on after this answer. */
     private void prepare(HttpResponse response) {
         boolean last = !keepAlive || unbounded || incoming != null;
-        ended = last || (node.draining() || server.crowded()) && !moreHasCome();
+        ended = last || (node.draining() || server.aboveKeepAliveLimit()) && !moreHasCome();
         if (ended) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else if (oldVersion) {
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -17,7 +17,7 @@
 
 /** Accepts clients, reads their requests, and writes the one answer to each. */
 final class ClientServer {
-    static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+    static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
     private static final int LEAST_READ = 256;
     private static final int FIRST_READ = 2048;
     private static final int MOST_READ = 16 * 1024; // many are under way at once
@@ -33,7 +33,7 @@
     private final ConnectionLimits limits;
     private AcceptRetry acceptRetry; // the present listener's
     private RetryingServerSocketChannel listener;
-    private double stirredAt;
+    private double lastActivityMs;
     private boolean sharesListener;
     private boolean watching;
 
@@ -44,7 +44,7 @@
     }
 
     /** Buffers that grow with what comes, from little. */
-    static RecvByteBufAllocator readBuffers() {
+    static RecvByteBufAllocator readBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MOST_READ);
     }
 
@@ -58,8 +58,8 @@
                         sharesListener ? new RetryingServerSocketChannel(inherited) : new RetryingServerSocketChannel())
                 .handler(acceptRetry)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readBuffers())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readBufferAllocator())
                 .childHandler(new ChannelInitializer<RetryingSocketChannel>() {
                     @Override
                     protected void initChannel(RetryingSocketChannel ch) {
@@ -107,16 +107,16 @@
      * Accepts all that wait: a listener that closes resets them, with what their clients have asked. False where the
      * system let none be accepted just now.
      */
-    boolean acceptWaiting() {
+    boolean acceptQueued() {
         return listener.acceptAll();
     }
 
     /** Closes the connections on which nothing has been asked for so long. */
-    void closeIdle(double quietMs) {
-        double before = node.clock.now() - quietMs;
+    void closeIdle(double minIdleMs) {
+        double usedBeforeMs = node.clock.now() - minIdleMs;
         for (ClientConnection c : List.copyOf(idle)) {
-            if (c.usedAt() <= before && c.quiet()) {
-                stirredAt = node.clock.now();
+            if (c.usedAt() <= usedBeforeMs && c.quiet()) {
+                lastActivityMs = node.clock.now();
                 c.close(CloseReason.DRAINED);
             }
         }
@@ -133,8 +133,8 @@
     }
 
     /** When a connection last came, or was closed while idle. */
-    double stirredAt() {
-        return stirredAt;
+    double lastActivityMs() {
+        return lastActivityMs;
     }
 
     /** From any thread: about how many clients' connections are open. */
@@ -147,13 +147,13 @@
     }
 
     /** What all processes of this gateway hold of the descriptors that clients share. */
-    int held() {
+    int descriptorsHeld() {
         return node.heldByAll(connections.size(), SiblingWatch.Siblings::clients);
     }
 
     /** Whether clients hold more than their share: connections end with their next answer. */
-    boolean crowded() {
-        return held() > limits.maxKeepAlive();
+    boolean aboveKeepAliveLimit() {
+        return descriptorsHeld() > limits.maxKeepAlive();
     }
 
     private int mostHeld() {
@@ -169,7 +169,7 @@
         connections.add(c);
         open.set(connections.size());
         idle.add(c);
-        stirredAt = node.clock.now();
+        lastActivityMs = node.clock.now();
     }
 
     void ended(ClientConnection c) {
@@ -189,14 +189,14 @@
 
     /** Makes room for a new connection; false where no descriptor is left for it. */
     boolean admits(ClientConnection newcomer) {
-        if (crowded()) {
-            shed(newcomer, Math.max(1, held() - mostHeld()));
+        if (aboveKeepAliveLimit()) {
+            shed(newcomer, Math.max(1, descriptorsHeld() - mostHeld()));
         }
-        return held() <= mostHeld();
+        return descriptorsHeld() <= mostHeld();
     }
 
     private void shedIfCrowded() {
-        if (crowded()) {
+        if (aboveKeepAliveLimit()) {
             shed(null, 1);
         }
     }
@@ -209,7 +209,7 @@
                 return;
             }
             boolean fresh = !c.known() && node.clock.now() - c.usedAt() < FRESH_MS;
-            if (c != newcomer && (!fresh || held() > mostHeld()) && c.quiet()) {
+            if (c != newcomer && (!fresh || descriptorsHeld() > mostHeld()) && c.quiet()) {
                 c.close(CloseReason.SHED);
                 closed++;
             }
@@ -222,8 +222,8 @@
         for (ClientConnection c : List.copyOf(connections)) {
             c.expelIfLate(now);
         }
-        if (crowded()) {
-            shed(null, held() - limits.maxKeepAlive());
+        if (aboveKeepAliveLimit()) {
+            shed(null, descriptorsHeld() - limits.maxKeepAlive());
         }
     }
 }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -90,8 +90,8 @@
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientServer.WATER_MARK)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, ClientServer.readBuffers())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientServer.WRITE_BUFFER_WATER_MARK)
+                .option(ChannelOption.RCVBUF_ALLOCATOR, ClientServer.readBufferAllocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, node.config.connectTimeoutMs()));
         node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -380,7 +380,7 @@
 
     /** Connections from clients that all processes of this gateway hold. */
     int clientsHeld() {
-        return clients.held();
+        return clients.descriptorsHeld();
     }
 
     /** The same of connections to hosts. */
@@ -833,8 +833,8 @@
      */
     private void stopAccepting(double latest) {
         boolean leftToOther = clients.sharesListener() && processes > 1;
-        boolean allAccepted = leftToOther || clients.acceptWaiting();
-        boolean stirs = !leftToOther && clock.now() - clients.stirredAt() < Drain.RECONNECT_MS;
+        boolean allAccepted = leftToOther || clients.acceptQueued();
+        boolean stirs = !leftToOther && clock.now() - clients.lastActivityMs() < Drain.RECONNECT_MS;
         if ((stirs || !allAccepted) && clock.now() < latest) {
             loop.schedule(() -> stopAccepting(latest), POLL_MS, TimeUnit.MILLISECONDS);
             return;
