--- a/src/test/java/deckfall/net/ConfigReloaderTest.java
+++ b/src/test/java/deckfall/net/ConfigReloaderTest.java
@@ -24,8 +24,8 @@
         Path file = Files.createDirectory(folder.resolve("config.json")); // a read fails with EISDIR
         new ConfigReloader(file, changed::add).reload();
         Files.delete(file);
-        Files.writeString(file, Sockets.config("127.0.0.1:7", "127.0.0.1:0"));
-        NodeConfig config = changed.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Files.writeString(file, TestEndpoints.config("127.0.0.1:7", "127.0.0.1:0"));
+        NodeConfig config = changed.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(config);
         assertEquals(7, config.discovery().getPort());
     }
--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -1,10 +1,10 @@
 package deckfall.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.order;
+import static deckfall.net.TestEndpoints.bytes;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.okResponse;
+import static deckfall.net.TestEndpoints.orderRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -17,11 +17,11 @@
 import deckfall.Gateway.Events;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Request;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
-import deckfall.net.Sockets.Unreachable;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
+import deckfall.net.TestEndpoints.UnreachableServer;
 import java.io.Closeable;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -52,7 +52,7 @@
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> left = new LinkedBlockingQueue<>(); // whose client the module knows to be gone
     private final Hand clock = new Hand();
-    private Registry registry;
+    private DiscoveryServer registry;
 
     @AfterEach
     void close() throws IOException {
@@ -67,11 +67,11 @@
     }
 
     private static void echo(Message m, Socket s) throws IOException {
-        s.getOutputStream().write(ok("for " + m.header("X-Trace-Id")));
+        s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id")));
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        T next = queue.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(next, "nothing came");
         return next;
     }
@@ -84,8 +84,8 @@
     /** Connections may take as long as requests to come up. */
     private Node node(Function<Actions, Events> module, UnaryOperator<String> change, String... entries)
             throws IOException {
-        registry = kept(new Registry(list(1, true, entries)));
-        String config = Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
+        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"connect_timeout_ms\": 5000", "\"connect_timeout_ms\": 60000");
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(change.apply(config))), module, clock);
         ends.push(node::stop);
@@ -127,13 +127,13 @@
     @Test
     void whatWaitsForAConnectionToAHostGoesElsewhereOnceThatDrains() throws Exception {
         for (String state : new String[] {"draining", "gone"}) {
-            Unreachable slow = kept(new Unreachable());
+            UnreachableServer slow = kept(new UnreachableServer());
             Server other = kept(new Server(CrossingTest::echo));
-            Node node = node(this::noted, c -> c, entry("h0", slow.address(), "ready"));
-            Client c = client(node).send(order("o", "b"));
+            Node node = node(this::noted, c -> c, hostEntry("h0", slow.address(), "ready"));
+            Client c = client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(asked).id());
-            registry.news.add(
-                    list(2, false, entry("h0", slow.address(), state), entry("h1", other.address(), "ready")));
+            registry.updates.add(hostList(
+                    2, false, hostEntry("h0", slow.address(), state), hostEntry("h1", other.address(), "ready")));
             assertEquals("for o", c.receive().text());
             assertEquals(Outcome.FULL, next(results).outcome());
             assertEquals(Outcome.OK, next(results).outcome());
@@ -143,13 +143,13 @@
     /** The same where a host has restarted, or has left the list without a word. */
     @Test
     void whatWaitsForAConnectionToAFormerLifeOfAHostIsTurnedBack() throws Exception {
-        String[] lists = {list(2, true), list(2, false, entry("h0", "127.0.0.1:1", "ready"))};
+        String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
         for (String news : lists) {
-            Unreachable slow = kept(new Unreachable());
-            Node node = node(sending("h0"), c -> c, entry("h0", slow.address(), "ready"));
-            client(node).send(order("o", "b"));
+            UnreachableServer slow = kept(new UnreachableServer());
+            Node node = node(sending("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+            client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(asked).id());
-            registry.news.add(news);
+            registry.updates.add(news);
             assertEquals(Outcome.FULL, next(results).outcome());
         }
     }
@@ -158,20 +158,21 @@
     @Test
     void aRequestWhoseClientLeftBeforeItsConnectionCameUpIsNeverSent() throws Exception {
         for (String cancel : new String[] {"true", "false"}) {
-            Unreachable slow = kept(new Unreachable());
+            UnreachableServer slow = kept(new UnreachableServer());
             Node node = node(
                     this::noted,
                     c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
-                    entry("h0", slow.address(), "ready"));
-            Client c = client(node).send(order("o" + cancel, "b"));
+                    hostEntry("h0", slow.address(), "ready"));
+            Client c = client(node).send(orderRequest("o" + cancel, "b"));
             next(asked);
             c.close();
             assertEquals("o" + cancel, next(left));
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
-            client(node).send(order("p", "b"));
+            client(node).send(orderRequest("p", "b"));
             next(asked);
             try (Socket came = slow.accept()) {
-                assertEquals("p", Sockets.read(came.getInputStream()).header("X-Trace-Id"));
+                assertEquals(
+                        "p", TestEndpoints.readMessage(came.getInputStream()).header("X-Trace-Id"));
             }
         }
     }
@@ -179,9 +180,9 @@
     /** An attempt left for a client that had gone, since its connection came up in the same turn of a busy loop. */
     @Test
     void noAttemptLeavesForAClientThatLeftWhileItsConnectionCameUp() throws Exception {
-        Unreachable slow = kept(new Unreachable());
-        Node node = node(sending("h0"), c -> c, entry("h0", slow.address(), "ready"));
-        Client c = client(node).send(order("o", "b"));
+        UnreachableServer slow = kept(new UnreachableServer());
+        Node node = node(sending("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+        Client c = client(node).send(orderRequest("o", "b"));
         next(asked);
         CountDownLatch go = new CountDownLatch(1);
         node.loop.execute(() -> await(go));
@@ -189,7 +190,7 @@
             c.close();
             go.countDown();
             assertEquals(Outcome.MOOT, resultOf("o"));
-            assertNull(Sockets.read(came.getInputStream()));
+            assertNull(TestEndpoints.readMessage(came.getInputStream()));
         }
     }
 
@@ -201,16 +202,16 @@
             await(go);
             echo(m, s);
         }));
-        Node node = node(sending("h0"), c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(sending("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
         clock.stands = true;
-        int ms = Sockets.PATIENCE_MS;
-        Client c = client(node).send(Sockets.view("first", ms) + Sockets.view("second", ms));
-        assertNotNull(host.next());
+        int ms = TestEndpoints.TIMEOUT_MS;
+        Client c = client(node).send(TestEndpoints.viewRequest("first", ms) + TestEndpoints.viewRequest("second", ms));
+        assertNotNull(host.nextRequest());
         node.loop.submit(() -> {}).sync(); // both have been read
         clock.aheadMs = ms / 2;
         go.countDown();
         assertEquals("for first", c.receive().text());
-        assertTrue(Integer.parseInt(host.next().header("X-Expires-In-Ms")) <= ms / 2);
+        assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
     }
 
     /** A server was told the time that its client had waited for a loop that was held up. */
@@ -228,15 +229,15 @@
                     act.send(r.id(), "h0", 0);
                 }),
                 c -> c,
-                entry("h0", host.address(), "ready"));
+                hostEntry("h0", host.address(), "ready"));
         Client first = client(node);
         Client second = client(node);
-        first.send(Sockets.view("first", Sockets.PATIENCE_MS));
+        first.send(TestEndpoints.viewRequest("first", TestEndpoints.TIMEOUT_MS));
         await(held);
-        second.send(Sockets.view("second", Sockets.PATIENCE_MS));
-        assertEquals("first", host.next().header("X-Trace-Id"));
-        int toldMs = Integer.parseInt(host.next().header("X-Expires-In-Ms"));
-        assertTrue(toldMs <= Sockets.PATIENCE_MS - heldMs / 2, toldMs + " ms");
+        second.send(TestEndpoints.viewRequest("second", TestEndpoints.TIMEOUT_MS));
+        assertEquals("first", host.nextRequest().header("X-Trace-Id"));
+        int toldMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
+        assertTrue(toldMs <= TestEndpoints.TIMEOUT_MS - heldMs / 2, toldMs + " ms");
     }
 
     /** It holds its place in the queue no longer, and none at a host. */
@@ -244,33 +245,34 @@
     void aRequestWhoseClientLeftWhileItWasHeldIsNeverSent() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Server host = kept(new Server((m, s) -> {
-            go.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < HELD_FROM; i++) {
-            clients.add(client(node).send(order("o" + i, "b")));
+            clients.add(client(node).send(orderRequest("o" + i, "b")));
             next(asked);
         }
-        Client gone = client(node).send(order("gone", "b"));
+        Client gone = client(node).send(orderRequest("gone", "b"));
         next(asked);
         gone.close();
         assertEquals("gone", next(left));
         go.countDown();
-        clients.add(client(node).send(order("o" + HELD_FROM, "b"))); // behind the one that left
+        clients.add(client(node).send(orderRequest("o" + HELD_FROM, "b"))); // behind the one that left
         for (int i = 0; i <= HELD_FROM; i++) {
             assertEquals("for o" + i, clients.get(i).receive().text());
         }
-        assertTrue(host.asked.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
+        assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
     }
 
     /** A connection that never came up proves that nothing has run, also where the client's time ends it. */
     @Test
     void whatTheClientsTimeEndsBeforeItsConnectionCameUpIsRefused() throws Exception {
-        Unreachable slow = kept(new Unreachable());
-        Node node = node(this::noted, c -> c.replace("by_key", "once"), entry("h0", slow.address(), "ready"));
-        String soon = order("o", "b").replace("X-Expires-In-Ms: " + Sockets.PATIENCE_MS, "X-Expires-In-Ms: 300");
+        UnreachableServer slow = kept(new UnreachableServer());
+        Node node = node(this::noted, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
+        String soon =
+                orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
         assertEquals(429, client(node).send(soon).receive().status());
         assertEquals(Outcome.CONNECT_FAILED, next(results).outcome());
     }
@@ -285,14 +287,14 @@
                 echo(m, s);
                 return;
             }
-            first.get().getOutputStream().write(ok("for one"));
+            first.get().getOutputStream().write(okResponse("for one"));
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
-        assertEquals("for one", c.send(order("one", "b")).receive().text());
+        assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         clock.aheadMs = 25; // so much later than the first one a copy has been seen
-        assertEquals("for two", c.send(order("two", "b")).receive().text());
+        assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
     }
 
     @Test
@@ -303,10 +305,11 @@
             used.add(s);
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < 3; i++) {
-            assertEquals("for o" + i, c.send(order("o" + i, "b")).receive().text());
+            assertEquals(
+                    "for o" + i, c.send(orderRequest("o" + i, "b")).receive().text());
             clock.aheadMs += 45; // less than the shortest time for which a connection is trusted
         }
         assertEquals(1, used.size());
@@ -325,17 +328,18 @@
             AtomicReference<Socket> first = new AtomicReference<>();
             Server host = kept(new Server((m, s) -> {
                 if (first.compareAndSet(null, s)) {
-                    s.getOutputStream().write(bytes(new String(ok("for one"), StandardCharsets.ISO_8859_1) + begun));
+                    s.getOutputStream()
+                            .write(bytes(new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + begun));
                     return;
                 }
                 writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
                 echo(m, s);
             }));
-            Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+            Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
-            assertEquals("for one", c.send(order("one", "b")).receive().text());
+            assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
             clock.aheadMs += 45; // the connection has rested, and would be trusted
-            assertEquals("for two", c.send(order("two", "b")).receive().text());
+            assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
         }
     }
 
@@ -352,16 +356,18 @@
     void aLaterRequestThatStopsBehindALineIsToldSo() throws Exception {
         clock.stands = true;
         Server host = kept(new Server(CrossingTest::echo));
-        Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
-        assertEquals("for one", c.send(order("one", "b")).receive().text());
+        assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         c.send("\r\nGET /view/x HTTP/1.1\r\n");
         Client other = client(node);
-        assertEquals("for two", other.send(order("two", "b")).receive().text()); // what came before has been read
+        assertEquals(
+                "for two", other.send(orderRequest("two", "b")).receive().text()); // what came before has been read
         clock.aheadMs = 2600;
         assertEquals(408, c.receive().status());
         assertEquals(
-                "for three", other.send("\r\n" + order("three", "b")).receive().text());
+                "for three",
+                other.send("\r\n" + orderRequest("three", "b")).receive().text());
     }
 
     /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
@@ -369,13 +375,13 @@
     void aStrangersBodyThatStopsIsToldSoFromItsConnectingOn() throws Exception {
         clock.stands = true;
         Server host = kept(new Server(CrossingTest::echo));
-        Node node = node(this::noted, c -> c, entry("h0", host.address(), "ready"));
+        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client stranger = client(node);
         Client other = client(node);
-        assertEquals("for one", other.send(order("one", "b")).receive().text()); // both have been accepted
+        assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
         clock.aheadMs = 2000;
-        stranger.send(order("o", "whole").replace("whole", "ha"));
-        assertEquals("for two", other.send(order("two", "b")).receive().text());
+        stranger.send(orderRequest("o", "whole").replace("whole", "ha"));
+        assertEquals("for two", other.send(orderRequest("two", "b")).receive().text());
         clock.aheadMs = 2600;
         assertEquals(408, stranger.receive().status());
     }
@@ -397,9 +403,9 @@
     /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
     @Test
     void aClientThatLeavesIsSeenBehindAllThatItHasSent() throws Exception {
-        String large =
-                order("long", "b".repeat(IncomingRequest.MAX_KEPT_BODY_BYTES + IncomingRequest.MAX_SMALL_BODY_BYTES));
-        String many = order("many", "b") + order("behind", "b").repeat(64);
+        String large = orderRequest(
+                "long", "b".repeat(IncomingRequest.MAX_KEPT_BODY_BYTES + IncomingRequest.MAX_SMALL_BODY_BYTES));
+        String many = orderRequest("many", "b") + orderRequest("behind", "b").repeat(64);
         Node node = node(holding(), c -> c);
         for (String sent : List.of(large, many)) {
             Client c = client(node).send(sent);
@@ -415,14 +421,14 @@
     @Test
     void whoSendsTooMuchToBeSeenLeavingIsToldNo() throws Exception {
         Node node = node(holding(), c -> c);
-        Client large = client(node).send(order("long", "b".repeat(8 << 20)));
+        Client large = client(node).send(orderRequest("long", "b".repeat(8 << 20)));
         assertEquals("long", next(asked).id());
         assertEquals("long", next(left));
         assertEquals(503, large.receive().status());
         Client flood = client(node);
         Thread sending = new Thread(() -> {
             try {
-                flood.send(order("flood", "b").repeat(50_000));
+                flood.send(orderRequest("flood", "b").repeat(50_000));
             } catch (IOException e) {
                 // ended by the other side, as it should
             }
@@ -457,24 +463,24 @@
                             }
                         }),
                 c -> c,
-                entry("h0", host.address(), "ready"));
-        Client first = client(node).send(order("first", "b"));
+                hostEntry("h0", host.address(), "ready"));
+        Client first = client(node).send(orderRequest("first", "b"));
         next(asked);
         first.close();
         gone[0].countDown();
         assertEquals(Outcome.MOOT, next(results).outcome());
-        Client second = client(node).send(order("second", "b"));
+        Client second = client(node).send(orderRequest("second", "b"));
         next(asked);
         assertEquals(Outcome.RESET, next(results).outcome());
         second.close();
         gone[1].countDown();
         assertEquals(Outcome.MOOT, next(results).outcome());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(latch.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -1,16 +1,16 @@
 package deckfall.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.view;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.okResponse;
+import static deckfall.net.TestEndpoints.viewRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.Socket;
@@ -41,7 +41,7 @@
     }
 
     private static void echo(Message m, Socket s) throws IOException {
-        s.getOutputStream().write(ok(m.header("X-Trace-Id")));
+        s.getOutputStream().write(okResponse(m.header("X-Trace-Id")));
     }
 
     /** Answers each call with the next of the answers; one that is empty ends the connection. */
@@ -51,13 +51,13 @@
             if (body.isEmpty()) {
                 s.close();
             } else {
-                s.getOutputStream().write(ok(body));
+                s.getOutputStream().write(okResponse(body));
             }
         }));
     }
 
     private Node node(Server discovery, String known) throws IOException {
-        String config = Sockets.config(discovery.address(), "127.0.0.1:0")
+        String config = TestEndpoints.config(discovery.address(), "127.0.0.1:0")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known);
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)));
         ends.push(node::stop);
@@ -67,12 +67,12 @@
 
     private int status(Node node, String id) throws IOException {
         try (Client c = new Client(node)) {
-            return c.send(view(id, Sockets.PATIENCE_MS)).receive().status();
+            return c.send(viewRequest(id, TestEndpoints.TIMEOUT_MS)).receive().status();
         }
     }
 
     private static String asked(Server discovery) throws InterruptedException {
-        return discovery.next().start();
+        return discovery.nextRequest().start();
     }
 
     /** Many that start at once would queue for as many whole lists, and none would hear of a change meanwhile. */
@@ -81,20 +81,21 @@
         Server old = kept(new Server(DiscoveryTest::echo));
         Server fresh = kept(new Server(DiscoveryTest::echo));
         Server discovery = discovery();
-        answers.add(list(9, false, entry("a", old.address(), DRAINED), entry("b", fresh.address(), "ready")));
-        Node node = node(discovery, list(7, true, entry("a", old.address(), "ready")));
+        answers.add(
+                hostList(9, false, hostEntry("a", old.address(), DRAINED), hostEntry("b", fresh.address(), "ready")));
+        Node node = node(discovery, hostList(7, true, hostEntry("a", old.address(), "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", asked(discovery));
         assertEquals("GET /v1/servers?from=9&hold_ms=" + CallTiming.HOLD_MS + " HTTP/1.1", asked(discovery));
         assertEquals(200, status(node, "one"));
-        assertEquals(1, fresh.asked.size());
-        assertEquals(0, old.asked.size());
+        assertEquals(1, fresh.requests.size());
+        assertEquals(0, old.requests.size());
     }
 
     @Test
     void withNoHostKnownTheWholeListIsAsked() throws Exception {
         Server discovery = discovery();
-        answers.add(list(3, true));
-        node(discovery, list(3, true));
+        answers.add(hostList(3, true));
+        node(discovery, hostList(3, true));
         assertEquals("GET /v1/servers HTTP/1.1", asked(discovery));
     }
 
@@ -103,9 +104,9 @@
     void changesOfAnOlderVersionAreLeftForTheWholeList() throws Exception {
         Server host = kept(new Server(DiscoveryTest::echo));
         Server discovery = discovery();
-        answers.add(list(2, false, entry("a", host.address(), "gone")));
-        answers.add(list(2, true, entry("a", host.address(), "ready")));
-        Node node = node(discovery, list(7, true, entry("a", host.address(), "ready")));
+        answers.add(hostList(2, false, hostEntry("a", host.address(), "gone")));
+        answers.add(hostList(2, true, hostEntry("a", host.address(), "ready")));
+        Node node = node(discovery, hostList(7, true, hostEntry("a", host.address(), "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", asked(discovery));
         assertEquals("GET /v1/servers HTTP/1.1", asked(discovery));
         assertEquals("GET /v1/servers?from=2&hold_ms=" + CallTiming.HOLD_MS + " HTTP/1.1", asked(discovery));
@@ -116,17 +117,18 @@
     void aMalformedListLeavesTheKnownOneInForce() throws Exception {
         Server host = kept(new Server(DiscoveryTest::echo));
         Server discovery = discovery();
-        answers.add("{\"servers\":[" + entry("a", host.address(), DRAINED) + "]}");
-        answers.add(list(9, false, entry("a", host.address(), DRAINED), entry("b", host.address(), "odd")));
+        answers.add("{\"servers\":[" + hostEntry("a", host.address(), DRAINED) + "]}");
+        answers.add(hostList(9, false, hostEntry("a", host.address(), DRAINED), hostEntry("b", host.address(), "odd")));
         answers.add("[]");
         answers.add("{\"version\":8,\"full\":true}");
         answers.add("{\"version\":8,\"full\":true,\"servers\":{}}");
         answers.add("{\"version\":8,\"servers\":[]}");
-        answers.add(list(8, true, entry("", host.address(), DRAINED)));
-        answers.add(list(8, true, entry("a", host.address(), "ready"), entry("a", host.address(), DRAINED)));
+        answers.add(hostList(8, true, hostEntry("", host.address(), DRAINED)));
+        answers.add(
+                hostList(8, true, hostEntry("a", host.address(), "ready"), hostEntry("a", host.address(), DRAINED)));
         answers.add("");
-        answers.add(list(7, false));
-        Node node = node(discovery, list(7, true, entry("a", host.address(), "ready")));
+        answers.add(hostList(7, false));
+        Node node = node(discovery, hostList(7, true, hostEntry("a", host.address(), "ready")));
         for (int i = 0; i < 10; i++) {
             assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", asked(discovery));
         }
@@ -141,20 +143,20 @@
         Server ready = kept(new Server(DiscoveryTest::echo));
         Server discovery = discovery();
         String[] old = {
-            entry("a", drains.address(), "ready"),
-            entry("b", gone.address(), "ready"),
-            entry("c", ready.address(), "ready")
+            hostEntry("a", drains.address(), "ready"),
+            hostEntry("b", gone.address(), "ready"),
+            hostEntry("c", ready.address(), "ready")
         };
-        answers.add(list(
+        answers.add(hostList(
                 9,
                 false,
-                entry("a", drains.address(), DRAINED),
-                entry("b", gone.address(), "gone"),
-                entry("d", gone.address(), "ready")));
-        answers.add(list(10, true, old[2], entry("a", drains.address(), DRAINED)));
-        answers.add(list(8, true, old[0], old[1], old[2], entry("d", gone.address(), "ready")));
-        answers.add(list(8, false));
-        Node node = node(discovery, list(7, true, old));
+                hostEntry("a", drains.address(), DRAINED),
+                hostEntry("b", gone.address(), "gone"),
+                hostEntry("d", gone.address(), "ready")));
+        answers.add(hostList(10, true, old[2], hostEntry("a", drains.address(), DRAINED)));
+        answers.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", gone.address(), "ready")));
+        answers.add(hostList(8, false));
+        Node node = node(discovery, hostList(7, true, old));
         for (int i = 0; i < 5; i++) {
             asked(discovery); // the last call is made before its answer is told, so:
         }
@@ -162,16 +164,17 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(200, status(node, "v" + i));
         }
-        assertEquals(0, drains.asked.size() + gone.asked.size());
+        assertEquals(0, drains.requests.size() + gone.requests.size());
     }
 
     @Test
     void anOlderListStillTellsOfAHostThatHasRestarted() throws Exception {
         Server host = kept(new Server(DiscoveryTest::echo));
         Server discovery = discovery();
-        answers.add(list(9, true, entry("a", host.address(), DRAINED)));
-        answers.add(list(2, true, entry("a", host.address(), "ready").replace("\"started_ms\":0", "\"started_ms\":5")));
-        Node node = node(discovery, list(3, true));
+        answers.add(hostList(9, true, hostEntry("a", host.address(), DRAINED)));
+        answers.add(hostList(
+                2, true, hostEntry("a", host.address(), "ready").replace("\"started_ms\":0", "\"started_ms\":5")));
+        Node node = node(discovery, hostList(3, true));
         for (int i = 0; i < 3; i++) {
             asked(discovery);
         }
@@ -187,15 +190,15 @@
         BlockingQueue<String> raw = new LinkedBlockingQueue<>();
         Server discovery = kept(new Server((m, s) -> {
             String text = raw.take();
-            s.getOutputStream().write(Sockets.bytes(text));
+            s.getOutputStream().write(TestEndpoints.bytes(text));
             if (!text.endsWith("}")) {
                 s.close();
             }
         }));
-        String none = new String(ok(list(7, false)), StandardCharsets.ISO_8859_1);
+        String none = new String(okResponse(hostList(7, false)), StandardCharsets.ISO_8859_1);
         String caughtUp = "GET /v1/servers?from=7&hold_ms=" + CallTiming.HOLD_MS + " HTTP/1.1";
         raw.add(none);
-        node(discovery, list(7, true, entry("a", "127.0.0.1:1", "ready")));
+        node(discovery, hostList(7, true, hostEntry("a", "127.0.0.1:1", "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", asked(discovery));
         for (String failed : new String[] {"", unavailable, brokenOff}) {
             assertEquals(caughtUp, asked(discovery));
@@ -212,17 +215,17 @@
     void aListMayComeIndentedAndByteByByte() throws Exception {
         Server host = kept(new Server(DiscoveryTest::echo));
         ObjectMapper json = new ObjectMapper();
-        String list = json.readTree(list(9, false, entry("a", host.address(), "ready")))
+        String list = json.readTree(hostList(9, false, hostEntry("a", host.address(), "ready")))
                 .toPrettyString();
         Server discovery = kept(new Server((m, s) -> {
             if (m.start().contains("hold_ms=0")) {
                 s.setTcpNoDelay(true);
-                for (byte b : ok(list)) {
+                for (byte b : okResponse(list)) {
                     s.getOutputStream().write(b);
                 }
             }
         }));
-        Node node = node(discovery, list(7, true, entry("a", "127.0.0.1:1", "ready")));
+        Node node = node(discovery, hostList(7, true, hostEntry("a", "127.0.0.1:1", "ready")));
         assertTrue(list.contains("\n  \"version\" : 9"), list);
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", asked(discovery));
         assertTrue(asked(discovery).contains("from=9&"));
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -1,9 +1,9 @@
 package deckfall.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.order;
-import static deckfall.net.Sockets.view;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.orderRequest;
+import static deckfall.net.TestEndpoints.viewRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -12,10 +12,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import deckfall.DecisionModule;
 import deckfall.Gateway.Settings;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.Closeable;
@@ -45,7 +45,7 @@
     }
 
     private static Settings settings(int longestMs) throws Exception {
-        String config = Sockets.config("127.0.0.1:1", "127.0.0.1:0")
+        String config = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")
                 .replace("\"hard_limit_ms\": 60000}]", "\"hard_limit_ms\": " + longestMs + "}]")
                 .replace("\"hard_limit_ms\": 60000", "\"hard_limit_ms\": 100");
         return NodeConfig.of(new ObjectMapper().readTree(config)).settings();
@@ -65,8 +65,8 @@
     }
 
     private Node node(String... entries) throws IOException {
-        Registry registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
+        DiscoveryServer registry = kept(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
         ends.push(node::stop);
         return node;
     }
@@ -79,11 +79,11 @@
     @Test
     void nothingStaysOpenOnceTheTimeIsUp() throws Exception {
         Server hangs = kept(new Server((m, s) -> {}));
-        Node node = node(entry("h0", hangs.address(), "ready"));
-        Client out = client(node).send(order("out", "b"));
-        assertNotNull(hangs.next());
+        Node node = node(hostEntry("h0", hangs.address(), "ready"));
+        Client out = client(node).send(orderRequest("out", "b"));
+        assertNotNull(hangs.nextRequest());
         Client half = client(node).send("GET /view/x HTT");
-        Client body = client(node).send(order("body", "whole").replace("whole", "ha"));
+        Client body = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
         Client fresh = client(node);
         Client last = client(node); // what came before is known to have been read once this one is answered
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
@@ -95,7 +95,7 @@
             assertNull(c.receive());
         }
         body.close();
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** Requests that had been sent several at once, and read, were dropped with the first answer in a drain. */
@@ -103,13 +103,13 @@
     void whatWasReadAheadIsAnsweredInADrain() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Server host = kept(new Server((m, s) -> {
-            assertTrue(go.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            s.getOutputStream().write(Sockets.ok(m.header("X-Trace-Id")));
+            assertTrue(go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            s.getOutputStream().write(TestEndpoints.okResponse(m.header("X-Trace-Id")));
         }));
-        Node node = node(entry("h0", host.address(), "ready"));
-        int ms = Sockets.PATIENCE_MS;
-        Client c = client(node).send(view("one", ms) + view("two", ms) + view("three", ms));
-        assertNotNull(host.next());
+        Node node = node(hostEntry("h0", host.address(), "ready"));
+        int ms = TestEndpoints.TIMEOUT_MS;
+        Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
+        assertNotNull(host.nextRequest());
         node.operations().quiesce();
         go.countDown();
         assertEquals("one", c.receive().text());
@@ -127,7 +127,8 @@
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop
                 .submit(() -> {
-                    known.send(view("v", Sockets.PATIENCE_MS)); // in a turn of the loop, which can't read meanwhile
+                    known.send(viewRequest(
+                            "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
                     node.drain();
                     node.answerAll();
                     return null;
@@ -141,14 +142,14 @@
     void answersThatWaitToBeWrittenOutliveTheDrainsEnd() throws Exception {
         int count = 150; // more than the system's buffers hold for a client that does not read
         String body = "x".repeat(60_000);
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(Sockets.ok(body))));
-        Node node = node(entry("h0", host.address(), "ready"));
+        Server host = kept(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse(body))));
+        Node node = node(hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < count; i++) {
-            c.send(view("v" + i, Sockets.PATIENCE_MS));
+            c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS));
         }
         for (int i = 0; i < count; i++) {
-            assertNotNull(host.next());
+            assertNotNull(host.nextRequest());
         }
         while (node.figures.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
@@ -167,24 +168,26 @@
     @Test
     void whatIsHeldAtTheEndAndWasNeverSentIsRefused() throws Exception {
         Node node = node();
-        Client held = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Client held = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::answerAll).sync();
         assertEquals(503, held.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** In a drain that has gone on for long, whoever comes newly still has time to ask. */
     @Test
     void aDrainOfAnyAgeLeavesANewConnectionTimeToAsk() throws Exception {
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(Sockets.ok("x"))));
-        Registry registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        Server host = kept(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
+        DiscoveryServer registry =
+                kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
         Hand clock = new Hand();
         clock.stands = true;
         Node node = new Node(
-                NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
+                NodeConfig.of(
+                        new ObjectMapper().readTree(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionModule::new,
                 clock);
         ends.push(node::stop);
@@ -197,7 +200,9 @@
         assertNull(idle.receive()); // from here on there is a sweep every 50 ms
         Client c = client(node);
         node.loop.schedule(() -> {}, 150, TimeUnit.MILLISECONDS).sync();
-        assertEquals(200, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
     /** The listener's end is timed next: were the sweep timed in a later turn, a slow loop would close that first. */
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -1,12 +1,12 @@
 package deckfall.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.headers;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.order;
-import static deckfall.net.Sockets.view;
+import static deckfall.net.TestEndpoints.bytes;
+import static deckfall.net.TestEndpoints.headers;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.okResponse;
+import static deckfall.net.TestEndpoints.orderRequest;
+import static deckfall.net.TestEndpoints.viewRequest;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -20,10 +20,10 @@
 import deckfall.Gateway.Events;
 import deckfall.Gateway.Outcome;
 import deckfall.Gateway.Refusal;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -79,7 +79,7 @@
     private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
 
     private final Deque<Closeable> ends = new ArrayDeque<>();
-    private Registry registry;
+    private DiscoveryServer registry;
 
     @BeforeAll
     static void noteLeaks() {
@@ -109,17 +109,17 @@
         return end;
     }
 
-    private Server host(Sockets.Answer answer) throws IOException {
+    private Server host(TestEndpoints.RequestHandler answer) throws IOException {
         return kept(new Server(answer));
     }
 
     private static void echo(Message m, java.net.Socket s) throws IOException {
-        s.getOutputStream().write(ok("for " + m.header("X-Trace-Id") + " " + m.text()));
+        s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
     private Node nodeWith(String... entries) throws IOException {
-        registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
+        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
         ends.push(node::stop);
         return node;
     }
@@ -133,14 +133,14 @@
             Node node = started.join();
             node.loop.submit(() -> {}).sync(); // what was begun before the call is done
             portWhenAsked.complete(node.port());
-            s.getOutputStream().write(ok(list(1, true)));
+            s.getOutputStream().write(okResponse(hostList(1, true)));
         }));
-        String config = Sockets.config(registry.address(), "127.0.0.1:0");
+        String config = TestEndpoints.config(registry.address(), "127.0.0.1:0");
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)));
         ends.push(node::stop);
         started.complete(node);
         node.start();
-        assertEquals(0, portWhenAsked.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(0, portWhenAsked.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertNotEquals(0, node.port());
     }
 
@@ -149,21 +149,23 @@
     void aClientWhoseIdleConnectionADrainClosedIsServedOnANewOne() throws Exception {
         Node node = nodeBefore(host(NodeTest::echo));
         Client idle = client(node);
-        assertEquals(200, idle.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                idle.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
         idle.socket.setSoTimeout(1);
         CompletableFuture<Client> anew = new CompletableFuture<>();
         node.loop.execute(node::drain);
         node.loop.execute(() -> comeAgain(node, idle, anew));
-        Client second = anew.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Client second = anew.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(200, second.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** On the node's own loop, so that nothing else of the node can come between the end and the new request. */
     private void comeAgain(Node node, Client idle, CompletableFuture<Client> anew) {
         try {
             if (idle.socket.getInputStream().read() < 0) {
-                anew.complete(client(node).send(view("b", Sockets.PATIENCE_MS)));
+                anew.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
             }
         } catch (SocketTimeoutException e) { // still open
             node.loop.schedule(() -> comeAgain(node, idle, anew), 1, TimeUnit.MILLISECONDS);
@@ -175,23 +177,23 @@
     /** A signal that nobody heard would leave a gateway deaf to drains for good. */
     @Test
     void whereDiscoveryIsGoneTheConfigurationIsReadAgain(@TempDir Path folder) throws Exception {
-        Registry old = new Registry(list(1, true));
-        Registry moved = kept(new Registry(list(2, true)));
-        Path file =
-                Files.writeString(folder.resolve("config.json"), Sockets.config(old.server.address(), "127.0.0.1:0"));
+        DiscoveryServer old = new DiscoveryServer(hostList(1, true));
+        DiscoveryServer moved = kept(new DiscoveryServer(hostList(2, true)));
+        Path file = Files.writeString(
+                folder.resolve("config.json"), TestEndpoints.config(old.server.address(), "127.0.0.1:0"));
         Node node = new Node(NodeConfig.read(file.toString()));
         ends.push(node::stop);
         node.configuredBy(file);
         node.start();
-        Files.writeString(file, Sockets.config(moved.server.address(), "127.0.0.1:0"));
+        Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
         old.close();
-        assertNotNull(moved.server.next(), "not asked at the address of the replaced configuration");
+        assertNotNull(moved.server.nextRequest(), "not asked at the address of the replaced configuration");
     }
 
     private Node nodeBefore(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
-            entries[i] = entry("h" + i, hosts[i].address(), "ready");
+            entries[i] = hostEntry("h" + i, hosts[i].address(), "ready");
         }
         return nodeWith(entries);
     }
@@ -211,45 +213,48 @@
             s.getOutputStream().write(body);
         });
         Client c = client(nodeBefore(host));
-        Message answer = c.send(order("id-1", "two copies")).receive();
+        Message answer = c.send(orderRequest("id-1", "two copies")).receive();
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
-        Message sent = host.next();
+        Message sent = host.nextRequest();
         assertEquals("POST /order/x HTTP/1.1", sent.start());
         assertEquals("id-1", sent.header("X-Trace-Id"));
         assertEquals("key-id-1", sent.header("Idempotency-Key"));
         assertEquals("two copies", sent.text());
-        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= Sockets.PATIENCE_MS);
-        assertEquals(200, c.send(view("id-2", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.next().start());
+        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= TestEndpoints.TIMEOUT_MS);
+        assertEquals(
+                200,
+                c.send(viewRequest("id-2", TestEndpoints.TIMEOUT_MS)).receive().status());
+        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.nextRequest().start());
     }
 
     @Test
     void aHostThatRefusesConnectionsCostsNoRequest() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        Node node = nodeWith(hostEntry("dead", DEAD, "ready"), hostEntry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
-                    client(node).send(order("o" + i, "b")).receive().text());
+                    client(node).send(orderRequest("o" + i, "b")).receive().text());
         }
-        assertEquals(10, host.asked.size());
+        assertEquals(10, host.requests.size());
     }
 
     /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
     @Test
     void aKeyedRequestWhoseConnectionsBreakFailsAndIsNotRefused() throws Exception {
         Server host = host((m, s) -> s.close());
-        int status = client(nodeBefore(host)).send(order("o", "b")).receive().status();
+        int status =
+                client(nodeBefore(host)).send(orderRequest("o", "b")).receive().status();
         assertEquals(502, status);
-        assertEquals(3, host.asked.size());
+        assertEquals(3, host.requests.size());
     }
 
     @Test
     void aRequestThatNeverRanIsRefusedWithATimeToComeBack() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer = client(nodeBefore(host)).send(order("o", "b")).receive();
+        Message answer = client(nodeBefore(host)).send(orderRequest("o", "b")).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     }
@@ -258,12 +263,12 @@
     void excessIsRefusedAtOnceWithATimeToComeBack() throws Exception {
         Server host = host(NodeTest::echo);
         Client c = client(nodeBefore(host));
-        String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
+        String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message answer = c.send(tiny).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     @Test
@@ -280,7 +285,7 @@
         assertEquals(
                 "for v ",
                 client(nodeBefore(host))
-                        .send(view("v", Sockets.PATIENCE_MS))
+                        .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
         assertEquals(2, asked.get());
@@ -295,13 +300,15 @@
             s.getOutputStream()
                     .write(
                             line == null
-                                    ? ok("for " + m.header("X-Trace-Id"))
+                                    ? okResponse("for " + m.header("X-Trace-Id"))
                                     : bytes("HTTP/1.1 200 OK\r\n" + line + "\r\nContent-Length: 4\r\n\r\nfake"));
         });
         Client c = client(nodeBefore(host));
-        assertEquals(502, c.send(order("o", "b")).receive().status()); // each of its three attempts may have run
-        assertEquals("for v", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(4, host.asked.size());
+        assertEquals(502, c.send(orderRequest("o", "b")).receive().status()); // each of its three attempts may have run
+        assertEquals(
+                "for v",
+                c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().text());
+        assertEquals(4, host.requests.size());
     }
 
     /** Requests wait for the bound, so that one goes out on the very connection that an answer has just freed. */
@@ -310,7 +317,7 @@
         AtomicInteger answered = new AtomicInteger();
         Server host = host((m, s) -> {
             String id = m.header("X-Trace-Id");
-            byte[] good = ok("for " + id);
+            byte[] good = okResponse("for " + id);
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             all.write(good);
             switch (answered.getAndIncrement() % 4) {
@@ -324,12 +331,12 @@
         Node node = nodeBefore(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            clients.add(client(node).send(order("o" + i, "b")));
+            clients.add(client(node).send(orderRequest("o" + i, "b")));
         }
         for (int i = 0; i < 40; i++) {
             assertEquals("for o" + i, clients.get(i).receive().text());
         }
-        assertEquals(40, host.asked.size());
+        assertEquals(40, host.requests.size());
     }
 
     /** The settings only say by when a host closes an idle connection; on many an idle one it does so far earlier. */
@@ -352,7 +359,9 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
-                    c.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+                    c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
+                            .receive()
+                            .text());
             TimeUnit.MILLISECONDS.sleep(300); // the idle time itself: more of it changes nothing
         }
         assertTrue(idleNanos.size() > 0);
@@ -365,10 +374,10 @@
     void anAttemptEndsWithItsClient() throws Exception {
         Server host = host((m, s) -> {});
         Client c = client(nodeBefore(host));
-        c.send(view("v", Sockets.PATIENCE_MS));
-        assertNotNull(host.next());
+        c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
+        assertNotNull(host.nextRequest());
         c.close();
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.closedByPeer.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** What comes after the client's time must reach nobody: not that client, nor the next request. */
@@ -377,17 +386,19 @@
         CountDownLatch timeIsUp = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
-                timeIsUp.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                timeIsUp.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         Client c = client(nodeBefore(host));
-        assertNotEquals(200, c.send(view("slow", 300)).receive().status());
+        assertNotEquals(200, c.send(viewRequest("slow", 300)).receive().status());
         timeIsUp.countDown();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
-                    c.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+                    c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
+                            .receive()
+                            .text());
         }
     }
 
@@ -395,7 +406,7 @@
     void badRequestsAreToldSoAndReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeBefore(host);
-        String good = view("v", 1000);
+        String good = viewRequest("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
                 good.replace("X-Plan: free", "X-Plan: none"),
@@ -405,7 +416,7 @@
                 good.replace("In-Ms: 1000", "In-Ms: soon"),
                 good.replace("spread=1,", ""),
                 good.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
-                order("o", "b").replace("Idempotency-Key", "X-Other"),
+                orderRequest("o", "b").replace("Idempotency-Key", "X-Other"),
                 "nonsense\r\n\r\n")) {
             assertEquals(400, client(node).send(bad).receive().status(), bad);
         }
@@ -428,14 +439,14 @@
                         .send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
                         .receive()
                         .status());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests);
     }
 
     @Test
     void requestsOfUnclearLengthReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeBefore(host);
-        String open = order("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
+        String open = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
         for (String length : List.of(
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
                 "Transfer-Encoding: xchunked",
@@ -446,14 +457,14 @@
             String bad = open + length + "\r\n\r\n1\r\nb\r\n0\r\n\r\n";
             assertEquals(400, client(node).send(bad).receive().status(), length);
         }
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests);
     }
 
     @Test
     void everyFormOfRequestIsPassedOn() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeBefore(host);
-        String open = order("o", "").replace("Content-Length: 0\r\n\r\n", "");
+        String open = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
         Client c = client(node);
         String chunks = open
                 + "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n";
@@ -469,16 +480,16 @@
                         .status());
         assertEquals(
                 "for v ",
-                c.send(view("v", Sockets.PATIENCE_MS).replace("/view", "http://h:1/view"))
+                c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("/view", "http://h:1/view"))
                         .receive()
                         .text());
-        assertEquals("GET /view/v?z=3 HTTP/1.1", host.asked.get(2).start());
+        assertEquals("GET /view/v?z=3 HTTP/1.1", host.requests.get(2).start());
         Client old = client(node);
-        old.send(view("w", Sockets.PATIENCE_MS).replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive"));
+        old.send(viewRequest("w", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive"));
         assertEquals("keep-alive", old.receive().header("Connection"));
         assertEquals(
                 200,
-                old.send(view("x", Sockets.PATIENCE_MS).replace("HTTP/1.1", "HTTP/1.0"))
+                old.send(viewRequest("x", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"))
                         .receive()
                         .status());
         assertNull(old.receive());
@@ -504,7 +515,7 @@
             s.getOutputStream().write(body, first, body.length - first);
         });
         Node node = nodeBefore(host);
-        Client c = client(node).send(view("v", 5000));
+        Client c = client(node).send(viewRequest("v", 5000));
         java.io.InputStream in = c.socket.getInputStream();
         ByteArrayOutputStream got = new ByteArrayOutputStream();
         while (got.size() < first) {
@@ -533,8 +544,8 @@
                 s.setSoLinger(time == 1, 0);
                 s.close();
             });
-            Client c =
-                    client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS).replace("HTTP/1.1", "HTTP/1.0"));
+            Client c = client(nodeBefore(host))
+                    .send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
             String got =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
             assertTrue(got.startsWith("HTTP/1.1 200") && got.endsWith("\r\n\r\n" + body), got.split("\r\n\r\n")[0]);
@@ -552,9 +563,9 @@
                 s.close();
             });
             Node node = nodeBefore(host);
-            Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
+            Client c = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
             assertThrows(IOException.class, () -> c.socket.getInputStream().readAllBytes(), length); // a reset
-            assertEquals(1, host.asked.size());
+            assertEquals(1, host.requests.size());
             assertEquals(1, figure(node, "error_total{type=\"view\"}"));
             assertEquals(0, figure(node, "concurrent"));
         }
@@ -573,7 +584,7 @@
                     java.net.Socket s = listener.accept();
                     byte[] first = s.getInputStream().readNBytes(1);
                     begun.countDown();
-                    Message m = Sockets.read(new java.io.SequenceInputStream(
+                    Message m = TestEndpoints.readMessage(new java.io.SequenceInputStream(
                             new java.io.ByteArrayInputStream(first), s.getInputStream()));
                     received.add(m.body());
                     s.close();
@@ -584,11 +595,11 @@
         });
         raw.setDaemon(true);
         raw.start();
-        Node node = nodeWith(entry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
-        String head = order("o", "").replace("Length: 0", "Length: " + body.length);
+        Node node = nodeWith(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
+        String head = orderRequest("o", "").replace("Length: 0", "Length: " + body.length);
         Client c = client(node).send(head);
         c.socket.getOutputStream().write(body, 0, 1_000_000);
-        assertTrue(begun.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS)); // before the last byte was sent
+        assertTrue(begun.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS)); // before the last byte was sent
         c.socket.getOutputStream().write(body, 1_000_000, 3_000_000);
         assertEquals(502, c.receive().status()); // it may have run
         assertEquals(1, received.size());
@@ -600,23 +611,27 @@
     void aPeerThatSendsNoWholeRequestIsToldSo() throws Exception {
         Node node = nodeBefore(host(NodeTest::echo));
         Client known = client(node);
-        assertEquals(200, known.send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                known.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
         for (String part : List.of("", "GET /vi", "POST /order/x HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")) {
             Client c = client(node).send(part);
             assertEquals(408, c.receive().status());
             assertNull(c.receive());
         }
-        assertEquals(200, known.send(view("w", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                known.send(viewRequest("w", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
     @Test
     void aConnectionInsideARequestIsNotTheOneThatGivesWay() throws Exception {
         Server host = host(NodeTest::echo);
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
         ends.push(node::stop);
-        String request = view("v", Sockets.PATIENCE_MS);
+        String request = viewRequest("v", TestEndpoints.TIMEOUT_MS);
         Client inside = client(node).send(request.substring(0, 30));
         List<Client> idle = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -631,17 +646,17 @@
     void clientsHoldNoMoreThanAThirdOfTheDescriptors() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            crowded.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            crowded.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
         ends.push(node::stop);
         List<Client> held = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            held.add(client(node).send(view("v" + i, Sockets.PATIENCE_MS)));
-            assertNotNull(host.next());
+            held.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
+            assertNotNull(host.nextRequest());
         }
         assertNull(client(node).receive()); // turned away: every other connection has a request open
         crowded.countDown();
@@ -660,7 +675,8 @@
         SiblingWatch watch = node.watchSiblings(folder);
         watch.look();
         node.loop.submit(() -> assertEquals(share, node.others().clients())).sync();
-        Message answer = client(node).send(view("v", Sockets.PATIENCE_MS)).receive();
+        Message answer =
+                client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals("for v ", answer.text());
         assertEquals("close", answer.header("Connection"));
     }
@@ -670,7 +686,7 @@
         Client c = client(nodeBefore(host(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            all.append(view("p" + i, Sockets.PATIENCE_MS));
+            all.append(viewRequest("p" + i, TestEndpoints.TIMEOUT_MS));
         }
         c.send(all.toString());
         for (int i = 0; i < 40; i++) {
@@ -684,12 +700,12 @@
         CountDownLatch both = new CountDownLatch(2);
         Server host = host((m, s) -> {
             both.countDown();
-            both.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            both.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = nodeBefore(host);
-        Client a = client(node).send(view("same", Sockets.PATIENCE_MS));
-        Client b = client(node).send(view("same", Sockets.PATIENCE_MS));
+        Client a = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
+        Client b = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         assertEquals("for same ", a.receive().text());
         assertEquals("for same ", b.receive().text());
     }
@@ -700,17 +716,23 @@
         Server fresh = host(NodeTest::echo);
         Node node = nodeBefore(old);
         Client c = client(node);
-        assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                c.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
         awaitWatches(1);
-        registry.news.add(list(2, false, entry("h0", old.address(), "draining"), entry("h1", DEAD, "ready")));
-        registry.news.add(list(3, false, entry("h1", fresh.address(), "ready")));
+        registry.updates.add(
+                hostList(2, false, hostEntry("h0", old.address(), "draining"), hostEntry("h1", DEAD, "ready")));
+        registry.updates.add(hostList(3, false, hostEntry("h1", fresh.address(), "ready")));
         awaitWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(
-                    200, c.send(view("b" + i, Sockets.PATIENCE_MS)).receive().status());
+                    200,
+                    c.send(viewRequest("b" + i, TestEndpoints.TIMEOUT_MS))
+                            .receive()
+                            .status());
         }
-        assertEquals(1, old.asked.size());
-        assertEquals(5, fresh.asked.size());
+        assertEquals(1, old.requests.size());
+        assertEquals(5, fresh.requests.size());
     }
 
     @Test
@@ -719,11 +741,15 @@
         Server fresh = host(NodeTest::echo);
         Node node = nodeBefore(old);
         awaitWatches(1);
-        registry.news.add(list(9, true, entry("h1", fresh.address(), "ready")));
+        registry.updates.add(hostList(9, true, hostEntry("h1", fresh.address(), "ready")));
         awaitWatches(2);
         assertEquals(
-                200, client(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals(0, old.asked.size());
+                200,
+                client(node)
+                        .send(viewRequest("a", TestEndpoints.TIMEOUT_MS))
+                        .receive()
+                        .status());
+        assertEquals(0, old.requests.size());
     }
 
     /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
@@ -732,21 +758,21 @@
         AtomicInteger calls = new AtomicInteger();
         Server broken = kept(new Server((m, s) -> {
             if (!m.start().contains("from=")) {
-                s.getOutputStream().write(ok(list(7, true)));
+                s.getOutputStream().write(okResponse(hostList(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
             }
         }));
-        ends.push(Sockets.node(Sockets.config(broken.address(), "127.0.0.1:0"))::stop);
+        ends.push(TestEndpoints.node(TestEndpoints.config(broken.address(), "127.0.0.1:0"))::stop);
         for (int i = 0; i < 5; i++) {
-            String call = broken.next().start();
+            String call = broken.nextRequest().start();
             assertEquals(i > 0, call.contains("from=7&"), call);
         }
     }
 
     private void awaitWatches(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (registry.server.asked.stream()
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
+        while (registry.server.requests.stream()
                         .filter(m -> m.start().contains("from="))
                         .count()
                 < count) {
@@ -768,9 +794,9 @@
             int port = freePort();
             String mine = "127.0.0.1:" + port;
             Server host = host(NodeTest::echo);
-            registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-            Node node = Sockets.node(
-                    Sockets.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+            Node node = TestEndpoints.node(
+                    TestEndpoints.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
             ends.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (DatagramSocket from : List.of(stranger, peer)) {
@@ -780,12 +806,12 @@
             }
             // Several customers, since the node itself keeps the books of some of them.
             for (int i = 0; i < 8; i++) {
-                String shared = view("s" + i, Sockets.PATIENCE_MS)
+                String shared = viewRequest("s" + i, TestEndpoints.TIMEOUT_MS)
                         .replace("spread=1", "spread=2")
                         .replace("b4d65521", "b4d6552" + i);
                 assertEquals(200, client(node).send(shared).receive().status());
             }
-            peer.setSoTimeout(Sockets.PATIENCE_MS);
+            peer.setSoTimeout(TestEndpoints.TIMEOUT_MS);
             DatagramPacket told = new DatagramPacket(new byte[1000], 1000);
             peer.receive(told);
             assertTrue(told.getLength() > 0 && told.getLength() <= 256);
@@ -796,15 +822,15 @@
     void whatIsOpenAtADrainIsAnsweredAndItsConnectionClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            draining.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = nodeBefore(host);
-        Client busy = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Client busy = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client idle = client(node);
-        assertNotNull(host.next());
+        assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
-        Client late = client(node).send(view("w", Sockets.PATIENCE_MS)); // clients still come for a while
+        Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS)); // clients still come for a while
         draining.countDown();
         for (Client c : List.of(busy, late)) {
             Message answer = c.receive();
@@ -813,7 +839,7 @@
             assertNull(c.receive());
         }
         assertNull(idle.receive());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
@@ -824,20 +850,26 @@
         OperatorServer.Commands operations = node.operations();
         assertNull(operations.notReadyReason());
         Client kept = client(node);
-        assertEquals(200, kept.send(view("k", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                kept.send(viewRequest("k", TestEndpoints.TIMEOUT_MS)).receive().status());
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH).receive().status());
         operations.quiesce();
         operations.quiesce(); // once more changes nothing
         assertEquals("draining", operations.notReadyReason());
         assertEquals(503, client(node).send(HEALTH).receive().status());
-        Message late = kept.send(view("l", Sockets.PATIENCE_MS)).receive();
+        Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals(200, late.status());
         assertEquals("close", late.header("Connection"));
         assertNull(kept.receive());
         assertNull(idle.receive()); // closed without a request
         assertEquals(
-                200, client(node).send(view("m", Sockets.PATIENCE_MS)).receive().status()); // served to the end
+                200,
+                client(node)
+                        .send(viewRequest("m", TestEndpoints.TIMEOUT_MS))
+                        .receive()
+                        .status()); // served to the end
         operations.resume();
         operations.resume();
         Client back = client(node);
@@ -858,17 +890,19 @@
                 echo(m, s);
             }
         });
-        Node node = nodeWith(entry("h0", host.address(), "ready"), entry("h1", host.address(), "draining"));
+        Node node = nodeWith(hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
         assertEquals(0, figure(node, "success_total{type=\"order\"}"));
         Client c = client(node);
-        assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals(200, c.send(order("b", "x")).receive().status());
+        assertEquals(
+                200,
+                c.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
+        assertEquals(200, c.send(orderRequest("b", "x")).receive().status());
         assertEquals(
                 502,
-                c.send(order("c", "x").replace("/order/x", "/order/broken"))
+                c.send(orderRequest("c", "x").replace("/order/x", "/order/broken"))
                         .receive()
                         .status());
-        String tiny = view("d", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
+        String tiny = viewRequest("d", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         assertEquals(429, c.send(tiny).receive().status());
         assertEquals(2, figure(node, "success_total{type=\"view\"}"));
@@ -876,7 +910,7 @@
         assertEquals(1, figure(node, "overload_total{type=\"view\"}"));
         assertEquals(1, figure(node, "error_total{type=\"order\"}"));
         assertEquals(0, figure(node, "error_total{type=\"view\"}"));
-        assertEquals(host.asked.size(), figure(node, "dispatches_total"));
+        assertEquals(host.requests.size(), figure(node, "dispatches_total"));
         assertEquals(0, figure(node, "concurrent"));
         while (figure(node, "targets") != 2) { // told on a beat
             Thread.onSpinWait();
@@ -897,16 +931,16 @@
     void aDrainEndsWhatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
         Node node = nodeBefore(host);
-        Client c = client(node).send(order("o", "b"));
-        assertNotNull(host.next());
+        Client c = client(node).send(orderRequest("o", "b"));
+        assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
         assertEquals(502, c.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     private Node scripted(Function<Actions, Events> module, String... entries) throws IOException {
-        registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
+        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"), module);
         ends.push(node::stop);
         return node;
     }
@@ -926,12 +960,15 @@
         List<Integer> heard = new CopyOnWriteArrayList<>();
         Node node = scripted(
                 act -> new Scripted((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
-                entry("h0", host.address(), "ready"));
+                hostEntry("h0", host.address(), "ready"));
         awaitWatches(1);
         Client c = client(node);
         for (int i = 0; i < 6; i++) {
             assertEquals(
-                    200, c.send(view("v" + i, Sockets.PATIENCE_MS)).receive().status());
+                    200,
+                    c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
+                            .receive()
+                            .status());
         }
         node.loop.submit(() -> {}).sync(); // the client's answer goes out before the module is told
         assertEquals(List.of(0, 1, 86, 32, 0, 0), heard);
@@ -946,11 +983,11 @@
         java.net.ServerSocket counter = kept(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
         java.util.concurrent.BlockingQueue<Count> heard = new java.util.concurrent.LinkedBlockingQueue<>();
         Actions[] acts = new Actions[1];
-        registry = kept(new Registry(list(1, true)));
-        String config = Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = kept(new DiscoveryServer(hostList(1, true)));
+        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"name\"", "\"counter\": \"127.0.0.1:" + counter.getLocalPort() + "\", \"name\"")
                 .replace("\"max_units\"", "\"counter\": true, \"counter_timeout_ms\": 60000, \"max_units\"");
-        Node node = Sockets.node(config, actions -> {
+        Node node = TestEndpoints.node(config, actions -> {
             acts[0] = actions;
             return new Scripted((now, r) -> {}, end -> {}) {
                 @Override
@@ -975,9 +1012,10 @@
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
             node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
             s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + none + "\r\n"));
-            assertEquals(new Count("u1", Outcome.OK, 7.5), heard.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            assertEquals(new Count("u2", Outcome.FULL, 0), heard.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            assertEquals(new Count("u3", Outcome.RESET, 0), heard.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals(new Count("u1", Outcome.OK, 7.5), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals(new Count("u2", Outcome.FULL, 0), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals(
+                    new Count("u3", Outcome.RESET, 0), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -986,7 +1024,9 @@
         Node node = scripted(act -> new Scripted((now, r) -> {
             throw new AssertionError("made up by the test");
         }));
-        assertNull(client(node).send(view("v", Sockets.PATIENCE_MS / 2)).receive());
+        assertNull(client(node)
+                .send(viewRequest("v", TestEndpoints.TIMEOUT_MS / 2))
+                .receive());
     }
 
     /** Clients and hosts together leave what discovery, the counter, the operator and the process itself need. */
@@ -1008,8 +1048,8 @@
             act.refuse(r.id(), 100, Refusal.QUOTA);
         }));
         Client c = client(node);
-        assertEquals(504, c.send(view("v", 300)).receive().status());
-        assertEquals(429, c.send(order("o", "b")).receive().status());
+        assertEquals(504, c.send(viewRequest("v", 300)).receive().status());
+        assertEquals(429, c.send(orderRequest("o", "b")).receive().status());
     }
 
     /** Only the first final answer goes out; a second one would be taken for the next request's. */
@@ -1023,9 +1063,13 @@
             act.refuse(r.id(), 100, Refusal.QUOTA);
         }));
         Client c = client(node);
-        assertEquals(502, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals(429, c.send(order("o", "b")).receive().status());
-        assertEquals(502, c.send(view("w", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                502,
+                c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
+        assertEquals(429, c.send(orderRequest("o", "b")).receive().status());
+        assertEquals(
+                502,
+                c.send(viewRequest("w", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
     /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
@@ -1034,22 +1078,22 @@
         CountDownLatch crowded = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
-                crowded.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                crowded.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
         ends.push(node::stop);
-        Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
-        assertNotNull(host.next());
+        Client held = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
+        assertNotNull(host.nextRequest());
         Client first = client(node);
         for (int i = 0; i < 30; i++) {
             assertEquals(
                     "for v" + i + " ",
                     client(node)
-                            .send(view("v" + i, Sockets.PATIENCE_MS))
+                            .send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
                             .receive()
                             .text());
         }
@@ -1061,9 +1105,9 @@
     /** One call that failed at the start, here the bind of an address in use, ended the process. */
     @Test
     void aNodeServesOnceItsAddressComesFree() throws Exception {
-        registry = kept(new Registry(list(1, true)));
+        registry = kept(new DiscoveryServer(hostList(1, true)));
         ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        String config = Sockets.config(registry.server.address(), "127.0.0.1:0")
+        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + taken.getLocalPort() + "\", \"disc");
         CompletableFuture.delayedExecutor(1500, TimeUnit.MILLISECONDS).execute(() -> {
             try {
@@ -1072,7 +1116,7 @@
                 throw new UncheckedIOException(e);
             }
         });
-        Node node = Sockets.node(config);
+        Node node = TestEndpoints.node(config);
         ends.push(node::stop);
         assertEquals(200, client(node).send(HEALTH).receive().status());
     }
@@ -1082,8 +1126,8 @@
         for (String bad : List.of(
                 "[]",
                 "{}",
-                Sockets.config("nowhere", "127.0.0.1:0"),
-                Sockets.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
+                TestEndpoints.config("nowhere", "127.0.0.1:0"),
+                TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0").replace("by_key", "by_luck"))) {
             Exception e = assertThrows(
                     RuntimeException.class,
                     () -> NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
--- a/src/test/java/deckfall/net/OperatorServerTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -57,14 +57,14 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), operator.port());
-        socket.setSoTimeout(Sockets.PATIENCE_MS);
+        socket.setSoTimeout(TestEndpoints.TIMEOUT_MS);
         return socket;
     }
 
     /** The whole answer, to the end of the connection. */
     private String call(String text) throws IOException {
         try (Socket socket = connect()) {
-            socket.getOutputStream().write(Sockets.bytes(text));
+            socket.getOutputStream().write(TestEndpoints.bytes(text));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import deckfall.net.Sockets.Registry;
+import deckfall.net.TestEndpoints.DiscoveryServer;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -19,10 +19,10 @@
 
     private final BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
 
-    private Node node(Registry registry, int port, DatagramSocket peer) throws Exception {
-        String config =
-                Sockets.config(registry.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
-        return Sockets.node(config, act -> new Scripted((now, r) -> {}) {
+    private Node node(DiscoveryServer registry, int port, DatagramSocket peer) throws Exception {
+        String config = TestEndpoints.config(
+                registry.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
+        return TestEndpoints.node(config, act -> new Scripted((now, r) -> {}) {
             @Override
             public void peerMessageReceived(double now, int from, byte[] data) {
                 heard.add(data.length);
@@ -41,7 +41,7 @@
     void peersAreHeardAgainAfterTheirChannelClosed() throws Exception {
         int port = freePort();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                Registry registry = new Registry(Sockets.list(1, true))) {
+                DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
             Node node = node(registry, port, peer);
             node.loop.submit(() -> node.peers().channel().close()).sync();
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -29,7 +29,7 @@
 
     private Process process;
     private int port;
-    private String known = Sockets.list(0, true);
+    private String known = TestEndpoints.hostList(0, true);
 
     @AfterEach
     void end() {
@@ -74,13 +74,13 @@
     }
 
     private String config(String discovery) {
-        return Sockets.config(discovery, "127.0.0.1:0")
+        return TestEndpoints.config(discovery, "127.0.0.1:0")
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc")
                 .replace("{\"version\": 0, \"full\": true, \"servers\": []}", known);
     }
 
     private void awaitReady() throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (!ready()) {
             assertTrue(process.isAlive() && System.nanoTime() < end, "not ready");
             Thread.sleep(20);
@@ -89,9 +89,9 @@
 
     private boolean ready() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
-            s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = Sockets.read(s.getInputStream());
+            s.setSoTimeout(TestEndpoints.TIMEOUT_MS);
+            s.getOutputStream().write(TestEndpoints.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
+            Message answer = TestEndpoints.readMessage(s.getInputStream());
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
             return false;
@@ -107,7 +107,7 @@
             crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         Path log = dir.resolve("log");
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (!Files.readString(log).contains("Too many open files")) {
             assertTrue(System.nanoTime() < end, "descriptors did not run out");
             Thread.sleep(20);
@@ -122,7 +122,8 @@
     @Test
     void aConnectForWhichNoDescriptorIsLeftIsAFailedAttempt() throws Exception {
         try (ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            known = Sockets.list(0, true, Sockets.entry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"));
+            known = TestEndpoints.hostList(
+                    0, true, TestEndpoints.hostEntry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"));
             startServing();
             List<Socket> crowd = new ArrayList<>();
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -130,9 +131,10 @@
                     crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
                 }
                 awaitLog("Too many open files");
-                client.setSoTimeout(Sockets.PATIENCE_MS);
-                client.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.PATIENCE_MS / 2)));
-                int status = Sockets.read(client.getInputStream()).status();
+                client.setSoTimeout(TestEndpoints.TIMEOUT_MS);
+                client.getOutputStream()
+                        .write(TestEndpoints.bytes(TestEndpoints.viewRequest("v", TestEndpoints.TIMEOUT_MS / 2)));
+                int status = TestEndpoints.readMessage(client.getInputStream()).status();
                 assertTrue(status == 429 || status == 502, Integer.toString(status)); // 504 comes with the time's end
             }
             for (Socket s : crowd) {
@@ -168,7 +170,7 @@
     }
 
     private void awaitLog(String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (!Files.readString(dir.resolve("log")).contains(part)) {
             assertTrue(process.isAlive() && System.nanoTime() < end, "no line with " + part);
             Thread.sleep(20);
@@ -177,8 +179,8 @@
 
     @Test
     void sighupMovesItToTheNewDiscovery() throws Exception {
-        try (Registry first = new Registry(Sockets.list(1, true));
-                Registry second = new Registry(Sockets.list(7, true))) {
+        try (DiscoveryServer first = new DiscoveryServer(TestEndpoints.hostList(1, true));
+                DiscoveryServer second = new DiscoveryServer(TestEndpoints.hostList(7, true))) {
             startServing(first.server.address());
             awaitLog("rehearsed"); // only after this line is the signal heard
             Files.writeString(dir.resolve("config.json"), "half a conf");
@@ -186,9 +188,9 @@
             awaitLog("left as it was");
             Files.writeString(dir.resolve("config.json"), config(second.server.address()));
             hangup();
-            Message whole = second.server.next();
+            Message whole = second.server.nextRequest();
             assertEquals("GET /v1/servers HTTP/1.1", whole.start());
-            assertTrue(second.server.next().start().contains("from=7&"));
+            assertTrue(second.server.nextRequest().start().contains("from=7&"));
             awaitReady();
         }
     }
@@ -196,7 +198,7 @@
     /** A signal that came during the warm-up ended the process, or was not acted on. */
     @Test
     void sighupDuringTheStartIsActedOnAfterIt() throws Exception {
-        try (Registry registry = new Registry(Sockets.list(1, true));
+        try (DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true));
                 ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket operator = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -213,7 +215,7 @@
     }
 
     private void awaitOpen(int at) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (true) {
             try (Socket s = new Socket(InetAddress.getLoopbackAddress(), at)) {
                 return;
@@ -227,7 +229,7 @@
     void sigtermEndsItInOrder() throws Exception {
         startServing();
         process.destroy();
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, process.exitValue());
     }
 
@@ -237,7 +239,7 @@
      */
     @Test
     void aReplacementServesOnAtTheInheritedListener() throws Exception {
-        Path config = Files.writeString(dir.resolve("config.json"), Sockets.config("127.0.0.1:1", "127.0.0.1:0"));
+        Path config = Files.writeString(dir.resolve("config.json"), TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0"));
         ProcessBuilder built = new ProcessBuilder(
                         "perl",
                         "-e",
@@ -293,13 +295,13 @@
             """;
 
     private static long spawn(OutputStream orders, BufferedReader said, Path config) throws IOException {
-        orders.write(Sockets.bytes(config + "\n"));
+        orders.write(TestEndpoints.bytes(config + "\n"));
         orders.flush();
         return Long.parseLong(said.readLine());
     }
 
     private void awaitLines(String part, int count) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (Files.readString(dir.resolve("log")).split(part, -1).length <= count) {
             assertTrue(System.nanoTime() < end, "not " + count + " times " + part);
             Thread.sleep(20);
@@ -317,7 +319,7 @@
     @Test
     void aBadConfigurationEndsItWithOneLine() throws Exception {
         start("{\"name\": \"n0\"}");
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
         assertEquals(1, Files.readAllLines(dir.resolve("log")).size());
     }
--- a/src/test/java/deckfall/net/RehearsalTest.java
+++ b/src/test/java/deckfall/net/RehearsalTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Server;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.List;
@@ -24,27 +24,30 @@
     @Test
     void itPlaysRequestsThatReachNobodyElse() throws Exception {
         try (ServerSocket mine = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Server host = new Server((m, s) -> s.getOutputStream().write(Sockets.ok("")));
-                Registry registry = new Registry(Sockets.list(1, true, Sockets.entry("h0", host.address(), "ready")))) {
-            String text = Sockets.config(registry.server.address(), "127.0.0.1:0")
+                Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
+                DiscoveryServer registry = new DiscoveryServer(
+                        TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
+            String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                     .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + mine.getLocalPort() + "\", \"disc");
             assertTrue(Rehearsal.warm(config(text), false) > 0);
-            assertEquals(List.of(), host.asked);
-            assertEquals(List.of(), registry.server.asked);
+            assertEquals(List.of(), host.requests);
+            assertEquals(List.of(), registry.server.requests);
         }
     }
 
     /** Settings without plans hold nobody to a quota; the start once divided by their number. */
     @Test
     void withoutPlansItRehearsesAndServes() throws Exception {
-        try (Server host = new Server((m, s) -> s.getOutputStream().write(Sockets.ok("")));
-                Registry registry = new Registry(Sockets.list(1, true, Sockets.entry("h0", host.address(), "ready")))) {
-            String text = Sockets.config(registry.server.address(), "127.0.0.1:0")
+        try (Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
+                DiscoveryServer registry = new DiscoveryServer(
+                        TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
+            String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                     .replaceAll("(?s),\\s*\"plans\": \\[.*?\\]", "");
             assertTrue(Rehearsal.warm(config(text), false) > 0);
-            Node node = Sockets.node(text);
+            Node node = TestEndpoints.node(text);
             try (Client c = new Client(node)) {
-                String bare = Sockets.view("v", Sockets.PATIENCE_MS).replace("X-Plan: free\r\n", "");
+                String bare =
+                        TestEndpoints.viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free\r\n", "");
                 assertEquals(200, c.send(bare).receive().status());
             } finally {
                 node.stop();
@@ -55,13 +58,13 @@
     /** Its clients come to a closed port meanwhile, and many gateways may be away at once. */
     @Test
     void aGatewayThatIsMissedDoesNotRehearse() throws Exception {
-        String text = Sockets.config("127.0.0.1:1", "127.0.0.1:0");
+        String text = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0");
         assertEquals(0, Rehearsal.warm(config(text), true));
     }
 
     @Test
     void aRehearsingNodeLetsNoClientIn() throws Exception {
-        Node node = new Node(config(Sockets.config("127.0.0.1:1", "127.0.0.1:0")));
+        Node node = new Node(config(TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")));
         node.rehearse();
         node.start();
         try (Client c = new Client(node)) {
--- a/src/test/java/deckfall/net/Sockets.java
+++ b/src/test/java/deckfall/net/TestEndpoints.java
@@ -24,11 +24,11 @@
 import java.util.function.Function;
 
 /** The other ends of a node's sockets, on ports that the system chooses. */
-final class Sockets {
-    private static final int QUEUED = 2; // connections that a queue of one takes
-    static final int PATIENCE_MS = 30_000; // how long a test waits for what must come
+final class TestEndpoints {
+    private static final int CONNECTIONS_IN_QUEUE_OF_ONE = 2; // connections that a queue of one takes
+    static final int TIMEOUT_MS = 30_000; // how long a test waits for what must come
 
-    private Sockets() {}
+    private TestEndpoints() {}
 
     /** An HTTP message as it came over a socket; {@code whole} is false where the connection ended inside it. */
     record Message(String start, Map<String, String> headers, byte[] body) {
@@ -46,7 +46,7 @@
     }
 
     /** The next message, or null where the connection ends before or inside it. */
-    static Message read(InputStream in) throws IOException {
+    static Message readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -72,35 +72,35 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    static byte[] ok(String body) {
+    static byte[] okResponse(String body) {
         return bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** What a server does with a request; it may keep the socket, write to it or close it. */
-    interface Answer {
-        void to(Message request, Socket socket) throws IOException, InterruptedException;
+    interface RequestHandler {
+        void handle(Message request, Socket socket) throws IOException, InterruptedException;
     }
 
     /** A server that notes what it is asked and answers by script. */
     static final class Server implements Closeable {
-        final List<Message> asked = new CopyOnWriteArrayList<>();
-        final BlockingQueue<Message> arrivals = new LinkedBlockingQueue<>();
-        final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>(); // connections that the other side ended
+        final List<Message> requests = new CopyOnWriteArrayList<>();
+        final BlockingQueue<Message> pendingRequests = new LinkedBlockingQueue<>();
+        final BlockingQueue<Socket> closedByPeer = new LinkedBlockingQueue<>(); // connections that the other side ended
         private final ServerSocket listener;
-        private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        private final Answer answer;
+        private final List<Socket> connections = new CopyOnWriteArrayList<>();
+        private final RequestHandler handler;
 
-        Server(Answer answer) throws IOException {
-            this.answer = answer;
+        Server(RequestHandler handler) throws IOException {
+            this.handler = handler;
             listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            thread(this::accept);
+            startThread(this::accept);
         }
 
         String address() {
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        private static void thread(Runnable work) {
+        private static void startThread(Runnable work) {
             Thread t = new Thread(work);
             t.setDaemon(true);
             t.start();
@@ -110,8 +110,8 @@
             try {
                 while (true) {
                     Socket s = listener.accept();
-                    sockets.add(s);
-                    thread(() -> serve(s));
+                    connections.add(s);
+                    startThread(() -> serve(s));
                 }
             } catch (IOException e) {
                 // closed
@@ -120,39 +120,39 @@
 
         private void serve(Socket s) {
             try {
-                for (Message m = read(s.getInputStream()); m != null; m = read(s.getInputStream())) {
-                    asked.add(m);
-                    arrivals.add(m);
-                    answer.to(m, s);
+                for (Message m = readMessage(s.getInputStream()); m != null; m = readMessage(s.getInputStream())) {
+                    requests.add(m);
+                    pendingRequests.add(m);
+                    handler.handle(m, s);
                 }
             } catch (IOException | InterruptedException e) {
                 // ended either way
             }
-            ended.add(s);
+            closedByPeer.add(s);
         }
 
-        Message next() throws InterruptedException {
-            return arrivals.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Message nextRequest() throws InterruptedException {
+            return pendingRequests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void close() throws IOException {
             listener.close();
-            for (Socket s : sockets) {
+            for (Socket s : connections) {
                 s.close();
             }
         }
     }
 
     /** A server whose machine lets no connection come up: its queue of those that nobody accepts is full. */
-    static final class Unreachable implements Closeable {
+    static final class UnreachableServer implements Closeable {
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<SocketChannel> crowd = new ArrayList<>();
+        private final List<SocketChannel> queueFillers = new ArrayList<>();
 
-        Unreachable() throws IOException {
-            for (int i = 0; i < QUEUED; i++) {
+        UnreachableServer() throws IOException {
+            for (int i = 0; i < CONNECTIONS_IN_QUEUE_OF_ONE; i++) {
                 SocketChannel c = SocketChannel.open();
-                crowd.add(c);
+                queueFillers.add(c);
                 c.connect(listener.getLocalSocketAddress());
             }
         }
@@ -163,34 +163,34 @@
 
         /** The next connection that came up, after those that filled the queue. */
         Socket accept() throws IOException {
-            for (SocketChannel c : crowd) {
+            for (SocketChannel c : queueFillers) {
                 c.close();
                 listener.accept().close();
             }
-            crowd.clear();
+            queueFillers.clear();
             return listener.accept();
         }
 
         @Override
         public void close() throws IOException {
             listener.close();
-            for (SocketChannel c : crowd) {
+            for (SocketChannel c : queueFillers) {
                 c.close();
             }
         }
     }
 
     /** Discovery: one list, and watches that hold until a further answer is put in. */
-    static final class Registry implements Closeable {
-        final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    static final class DiscoveryServer implements Closeable {
+        final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         final Server server;
-        volatile String whole;
+        volatile String fullList;
 
-        Registry(String whole) throws IOException {
-            this.whole = whole;
+        DiscoveryServer(String fullList) throws IOException {
+            this.fullList = fullList;
             server = new Server((m, s) -> {
-                String body = m.start().contains("from=") ? news.take() : this.whole;
-                s.getOutputStream().write(ok(body));
+                String body = m.start().contains("from=") ? updates.take() : this.fullList;
+                s.getOutputStream().write(okResponse(body));
             });
         }
 
@@ -200,11 +200,11 @@
         }
     }
 
-    static String list(int version, boolean full, String... entries) {
+    static String hostList(int version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
-    static String entry(String id, String address, String state) {
+    static String hostEntry(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"k\",\"cell\":0,"
                 + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
@@ -215,7 +215,7 @@
 
         Client(Node node) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), node.port());
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
         Client send(String text) throws IOException {
@@ -224,7 +224,7 @@
         }
 
         Message receive() throws IOException {
-            return read(socket.getInputStream());
+            return readMessage(socket.getInputStream());
         }
 
         @Override
@@ -233,12 +233,12 @@
         }
     }
 
-    static String view(String id, int expiresMs) {
+    static String viewRequest(String id, int expiresMs) {
         return "GET /view/" + id + "?z=3 HTTP/1.1\r\nHost: h\r\n" + headers(id, expiresMs) + "\r\n";
     }
 
-    static String order(String id, String body) {
-        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers(id, PATIENCE_MS) + "Idempotency-Key: key-" + id
+    static String orderRequest(String id, String body) {
+        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers(id, TIMEOUT_MS) + "Idempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
