--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -51,7 +51,7 @@
     private final BlockingQueue<Request> asked = new LinkedBlockingQueue<>(); // after the module has acted on it
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> left = new LinkedBlockingQueue<>(); // whose client the module knows to be gone
-    private final Hand clock = new Hand();
+    private final ManualClock clock = new ManualClock();
     private DiscoveryServer registry;
 
     @AfterEach
@@ -203,12 +203,12 @@
             echo(m, s);
         }));
         Node node = node(sending("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
-        clock.stands = true;
+        clock.frozen = true;
         int ms = TestEndpoints.TIMEOUT_MS;
         Client c = client(node).send(TestEndpoints.viewRequest("first", ms) + TestEndpoints.viewRequest("second", ms));
         assertNotNull(host.nextRequest());
         node.loop.submit(() -> {}).sync(); // both have been read
-        clock.aheadMs = ms / 2;
+        clock.offsetMs = ms / 2;
         go.countDown();
         assertEquals("for first", c.receive().text());
         assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
@@ -280,7 +280,7 @@
     /** The copy comes once the next request has been written, on whichever connection that took. */
     @Test
     void aSecondAnswerThatComesLateReachesNoOtherRequest() throws Exception {
-        clock.stands = true;
+        clock.frozen = true;
         AtomicReference<Socket> first = new AtomicReference<>();
         Server host = kept(new Server((m, s) -> {
             if (first.compareAndSet(null, s)) {
@@ -293,13 +293,13 @@
         Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-        clock.aheadMs = 25; // so much later than the first one a copy has been seen
+        clock.offsetMs = 25; // so much later than the first one a copy has been seen
         assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
     }
 
     @Test
     void aConnectionThatHasRestedIsUsedAgain() throws Exception {
-        clock.stands = true;
+        clock.frozen = true;
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         Server host = kept(new Server((m, s) -> {
             used.add(s);
@@ -310,7 +310,7 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     "for o" + i, c.send(orderRequest("o" + i, "b")).receive().text());
-            clock.aheadMs += 45; // less than the shortest time for which a connection is trusted
+            clock.offsetMs += 45; // less than the shortest time for which a connection is trusted
         }
         assertEquals(1, used.size());
     }
@@ -318,7 +318,7 @@
     /** What has come of a second answer is taken in at once; its rest comes once the next request has been written. */
     @Test
     void anAnswerThatHasOnlyBegunReachesNoOtherRequest() throws Exception {
-        clock.stands = true;
+        clock.frozen = true;
         for (String begun : new String[] {
             "HTTP/1.1 200 OK\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le",
@@ -338,7 +338,7 @@
             Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-            clock.aheadMs += 45; // the connection has rested, and would be trusted
+            clock.offsetMs += 45; // the connection has rested, and would be trusted
             assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
         }
     }
@@ -354,7 +354,7 @@
     /** A head that stops behind a whole line is as little a request as one that stops inside a line. */
     @Test
     void aLaterRequestThatStopsBehindALineIsToldSo() throws Exception {
-        clock.stands = true;
+        clock.frozen = true;
         Server host = kept(new Server(CrossingTest::echo));
         Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
@@ -363,7 +363,7 @@
         Client other = client(node);
         assertEquals(
                 "for two", other.send(orderRequest("two", "b")).receive().text()); // what came before has been read
-        clock.aheadMs = 2600;
+        clock.offsetMs = 2600;
         assertEquals(408, c.receive().status());
         assertEquals(
                 "for three",
@@ -373,16 +373,16 @@
     /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
     @Test
     void aStrangersBodyThatStopsIsToldSoFromItsConnectingOn() throws Exception {
-        clock.stands = true;
+        clock.frozen = true;
         Server host = kept(new Server(CrossingTest::echo));
         Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
         Client stranger = client(node);
         Client other = client(node);
         assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
-        clock.aheadMs = 2000;
+        clock.offsetMs = 2000;
         stranger.send(orderRequest("o", "whole").replace("whole", "ha"));
         assertEquals("for two", other.send(orderRequest("two", "b")).receive().text());
-        clock.aheadMs = 2600;
+        clock.offsetMs = 2600;
         assertEquals(408, stranger.receive().status());
     }
 
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -183,8 +183,8 @@
         Server host = kept(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
         DiscoveryServer registry =
                 kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-        Hand clock = new Hand();
-        clock.stands = true;
+        ManualClock clock = new ManualClock();
+        clock.frozen = true;
         Node node = new Node(
                 NodeConfig.of(
                         new ObjectMapper().readTree(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"))),
@@ -196,7 +196,7 @@
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.operations().quiesce();
         node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
-        clock.aheadMs = 10_000;
+        clock.offsetMs = 10_000;
         assertNull(idle.receive()); // from here on there is a sweep every 50 ms
         Client c = client(node);
         node.loop.schedule(() -> {}, 150, TimeUnit.MILLISECONDS).sync();
@@ -211,7 +211,7 @@
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         ends.push(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Drain drain = new Drain(loop, new Hand(), null);
+        Drain drain = new Drain(loop, new ManualClock(), null);
         assertTrue(loop.submit(() -> {
                     drain.begin();
                     return drain.sweeping();
--- a/src/test/java/deckfall/net/Hand.java
+++ b/src/test/java/deckfall/net/ManualClock.java
@@ -1,13 +1,13 @@
 package deckfall.net;
 
 /** A clock that goes on by itself, or stands where the test has put it. */
-final class Hand extends Clock {
+final class ManualClock extends Clock {
     private final double startMs = super.now();
-    volatile boolean stands;
-    volatile double aheadMs;
+    volatile boolean frozen;
+    volatile double offsetMs;
 
     @Override
     double now() {
-        return stands ? startMs + aheadMs : super.now();
+        return frozen ? startMs + offsetMs : super.now();
     }
 }
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -88,11 +88,11 @@
     /** After a step of the wall clock the times of the memory were off by as much, and the process was not seen. */
     @Test
     void aStepOfTheWallClockBetweenTwoStartsMovesNoTimeOfTheMemory() throws IOException {
-        Hand before = new Hand();
-        Hand after = new Hand();
-        before.stands = true;
-        after.stands = true;
-        after.aheadMs = 3_600_000;
+        ManualClock before = new ManualClock();
+        ManualClock after = new ManualClock();
+        before.frozen = true;
+        after.frozen = true;
+        after.offsetMs = 3_600_000;
         new SiblingFiles(folder, OTHER_PID).write(note(false)); // one that starts
         new SiblingWatch(new SiblingFiles(folder, 2), before, gateway(before.now() - 100)).look();
         CustomerSnapshot heard = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, gateway(0))
--- a/src/test/java/deckfall/net/StartTimesTest.java
+++ b/src/test/java/deckfall/net/StartTimesTest.java
@@ -8,15 +8,15 @@
 class StartTimesTest {
     @Test
     void eachPartIsTimedFromTheEndOfTheOneBefore() {
-        Hand clock = new Hand();
-        clock.stands = true;
+        ManualClock clock = new ManualClock();
+        clock.frozen = true;
         StartTimes times = new StartTimes(clock);
-        clock.aheadMs = 90;
+        clock.offsetMs = 90;
         times.ended("configuration");
         times.ended("operator");
-        clock.aheadMs = 300;
+        clock.offsetMs = 300;
         times.ended("warm-up");
-        clock.aheadMs = 400;
+        clock.offsetMs = 400;
         assertEquals("ready in 300 ms: configuration 90, operator 0, warm-up 210", times.line());
     }
 }
