--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/CrossingTest.java
@@ -99,7 +99,7 @@
 
     /** A module that sends each request to one host. */
     private Function<Actions, Events> sending(String host) {
-        return act -> new Scripted(
+        return act -> new ScriptedModule(
                 (now, r) -> {
                     act.send(r.id(), host, 0);
                     asked.add(r);
@@ -221,7 +221,7 @@
         CountDownLatch held = new CountDownLatch(1);
         Server host = kept(new Server(CrossingTest::echo));
         Node node = node(
-                act -> new Scripted((now, r) -> {
+                act -> new ScriptedModule((now, r) -> {
                     if (r.id().equals("first")) {
                         held.countDown();
                         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(heldMs));
@@ -388,7 +388,7 @@
 
     /** A module that sends nothing on, and notes whose client has left. */
     private Function<Actions, Events> holding() {
-        return act -> new Scripted((now, r) -> asked.add(r)) {
+        return act -> new ScriptedModule((now, r) -> asked.add(r)) {
             @Override
             public void clientDisconnected(double now, String id) {
                 left.add(id);
@@ -447,7 +447,7 @@
         CountDownLatch[] gone = {new CountDownLatch(1), new CountDownLatch(1)};
         Server host = kept(new Server((m, s) -> s.close()));
         Node node = node(
-                act -> new Scripted(
+                act -> new ScriptedModule(
                         (now, r) -> {
                             asked.add(r);
                             if (r.id().equals("first")) {
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -959,7 +959,7 @@
                 s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + told.poll() + "Content-Length: 0\r\n\r\n")));
         List<Integer> heard = new CopyOnWriteArrayList<>();
         Node node = scripted(
-                act -> new Scripted((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
+                act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
                 hostEntry("h0", host.address(), "ready"));
         awaitWatches(1);
         Client c = client(node);
@@ -989,7 +989,7 @@
                 .replace("\"max_units\"", "\"counter\": true, \"counter_timeout_ms\": 60000, \"max_units\"");
         Node node = TestEndpoints.node(config, actions -> {
             acts[0] = actions;
-            return new Scripted((now, r) -> {}, end -> {}) {
+            return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
                     heard.add(new Count(name, outcome, total));
@@ -1021,7 +1021,7 @@
 
     @Test
     void aConnectionWhoseRequestBreaksTheLoopsTurnEnds() throws Exception {
-        Node node = scripted(act -> new Scripted((now, r) -> {
+        Node node = scripted(act -> new ScriptedModule((now, r) -> {
             throw new AssertionError("made up by the test");
         }));
         assertNull(client(node)
@@ -1041,7 +1041,7 @@
 
     @Test
     void aModuleThatThrowsStillCostsNoAnswer() throws Exception {
-        Node node = scripted(act -> new Scripted((now, r) -> {
+        Node node = scripted(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
                 throw new IllegalStateException("made up by the test");
             }
@@ -1055,7 +1055,7 @@
     /** Only the first final answer goes out; a second one would be taken for the next request's. */
     @Test
     void aModuleThatAnswersTwiceIsHeardOnce() throws Exception {
-        Node node = scripted(act -> new Scripted((now, r) -> {
+        Node node = scripted(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
                 act.fail(r.id());
             }
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -22,7 +22,7 @@
     private Node node(DiscoveryServer registry, int port, DatagramSocket peer) throws Exception {
         String config = TestEndpoints.config(
                 registry.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
-        return TestEndpoints.node(config, act -> new Scripted((now, r) -> {}) {
+        return TestEndpoints.node(config, act -> new ScriptedModule((now, r) -> {}) {
             @Override
             public void peerMessageReceived(double now, int from, byte[] data) {
                 heard.add(data.length);
--- a/src/test/java/deckfall/net/Scripted.java
+++ b/src/test/java/deckfall/net/ScriptedModule.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 
 /** A module that does only what a test says of a request. */
-class Scripted implements Events {
-    private final BiConsumer<Double, Request> script;
-    private final Consumer<AttemptResult> ends;
+class ScriptedModule implements Events {
+    private final BiConsumer<Double, Request> onRequest;
+    private final Consumer<AttemptResult> onAttemptEnded;
 
-    Scripted(BiConsumer<Double, Request> script, Consumer<AttemptResult> ends) {
-        this.script = script;
-        this.ends = ends;
+    ScriptedModule(BiConsumer<Double, Request> onRequest, Consumer<AttemptResult> onAttemptEnded) {
+        this.onRequest = onRequest;
+        this.onAttemptEnded = onAttemptEnded;
     }
 
-    Scripted(BiConsumer<Double, Request> script) {
-        this(script, r -> {});
+    ScriptedModule(BiConsumer<Double, Request> onRequest) {
+        this(onRequest, r -> {});
     }
 
     @Override
@@ -34,7 +34,7 @@
 
     @Override
     public void requestReceived(double now, Request r) {
-        script.accept(now, r);
+        onRequest.accept(now, r);
     }
 
     @Override
@@ -42,7 +42,7 @@
 
     @Override
     public void attemptEnded(double now, AttemptResult r) {
-        ends.accept(r);
+        onAttemptEnded.accept(r);
     }
 
     @Override
