--- a/src/main/java/deckfall/net/AcceptRetry.java
+++ b/src/main/java/deckfall/net/AcceptRetry.java
@@ -10,17 +10,17 @@
  * its client's request; without this handler Netty accepts nothing for a second, which is longer than many deadlines.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
-    static final long RETRY_MS = 5;
-    private static final long TELL_EVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
+    static final long RETRY_DELAY_MS = 5;
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final Runnable makeRoom;
-    private long toldNanos; // when the log last told of a failure
-    private boolean told;
+    private final Runnable freeDescriptor;
+    private long lastLoggedNanos; // when the log last told of a failure
+    private boolean logged;
     private boolean stopped;
 
     /** {@code makeRoom} is called after each failure: no descriptor may have been left. */
-    AcceptRetry(Runnable makeRoom) {
-        this.makeRoom = makeRoom;
+    AcceptRetry(Runnable freeDescriptor) {
+        this.freeDescriptor = freeDescriptor;
     }
 
     /** Nothing more is accepted on the channel from here on, on its event loop. */
@@ -31,19 +31,19 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        tell(cause);
-        makeRoom.run();
+        logFailure(cause);
+        freeDescriptor.run();
         ctx.channel().config().setAutoRead(false); // else the loop would do nothing but try
-        ctx.executor().schedule(() -> resume(ctx), RETRY_MS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> resume(ctx), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(Throwable cause) {
+    private void logFailure(Throwable cause) {
         long now = System.nanoTime();
-        if (!told || now - toldNanos > TELL_EVERY_NANOS) {
-            Node.log("accept: " + cause.getMessage() + ", tried again every " + RETRY_MS + " ms");
-            toldNanos = now;
+        if (!logged || now - lastLoggedNanos > LOG_INTERVAL_NANOS) {
+            Node.log("accept: " + cause.getMessage() + ", tried again every " + RETRY_DELAY_MS + " ms");
+            lastLoggedNanos = now;
         }
-        told = true;
+        logged = true;
     }
 
     private void resume(ChannelHandlerContext ctx) {
--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -103,7 +103,7 @@
                 && incoming == null
                 && waiting.isEmpty()
                 && !decoder.hasPartialMessage()
-                && !channel.readFails()
+                && !channel.readFailing()
                 && channel.allWritten();
     }
 
@@ -209,7 +209,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         server.idle(this, false); // a close would lose what has been read
-        channel.readDelayOver();
+        channel.resetReadDelay();
         node.loop.execute(this::look);
     }
 
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -108,7 +108,7 @@
      * system let none be accepted just now.
      */
     boolean acceptQueued() {
-        return listener.acceptAll();
+        return listener.acceptQueued();
     }
 
     /** Closes the connections on which nothing has been asked for so long. */
--- a/src/main/java/deckfall/net/RetryingServerSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingServerSocketChannel.java
@@ -9,10 +9,10 @@
 
 /** A listener whose connections outlive calls that fail for a moment, and whose queue can be emptied at its end. */
 final class RetryingServerSocketChannel extends NioServerSocketChannel {
-    private static final int MOST_ROUNDS = 256; // of a read, which accepts up to 16: no queue is that long
+    private static final int MAX_READ_ROUNDS = 256; // of a read, which accepts up to 16: no queue is that long
 
     private final FailureSpell failures = new FailureSpell();
-    private double waitedMs; // for which those in the queue may have waited for calls that failed
+    private double queueWaitMs; // for which those in the queue may have waited for calls that failed
     private boolean queueEmpty; // by the last accept
 
     /** One that is yet to be bound. */
@@ -29,11 +29,11 @@
         SocketChannel socket = accept();
         if (socket == null) {
             queueEmpty = true;
-            waitedMs = 0;
+            queueWaitMs = 0;
             return 0;
         }
         try {
-            accepted.add(new RetryingSocketChannel(this, socket, waitedMs));
+            accepted.add(new RetryingSocketChannel(this, socket, queueWaitMs));
         } catch (RuntimeException e) {
             socket.close();
             throw e;
@@ -44,7 +44,7 @@
     private SocketChannel accept() throws IOException {
         try {
             SocketChannel socket = javaChannel().accept();
-            waitedMs = Math.max(waitedMs, failures.over());
+            queueWaitMs = Math.max(queueWaitMs, failures.over());
             return socket;
         } catch (IOException e) {
             failures.failed();
@@ -53,9 +53,9 @@
     }
 
     /** Accepts all that wait, on the event loop; false where the last call failed, so that some may still wait. */
-    boolean acceptAll() {
+    boolean acceptQueued() {
         queueEmpty = !isOpen();
-        for (int i = 0; i < MOST_ROUNDS && !queueEmpty && config().isAutoRead(); i++) {
+        for (int round = 0; round < MAX_READ_ROUNDS && !queueEmpty && config().isAutoRead(); round++) {
             ((AbstractNioChannel.NioUnsafe) unsafe()).read();
         }
         return queueEmpty;
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -13,12 +13,12 @@
  */
 final class RetryingSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
-    private static final double LONGEST_SPELL_MS = 1000; // then it counts as broken
+    private static final double MAX_FAILING_MS = 1000; // then it counts as broken
 
     private final boolean accepted; // from a client, to whom an answer is owed whatever its way back reports
     private double readDelayMs;
-    private final FailureSpell reads = new FailureSpell();
-    private final FailureSpell writes = new FailureSpell();
+    private final FailureSpell readFailures = new FailureSpell();
+    private final FailureSpell writeFailures = new FailureSpell();
 
     /** One that is yet to be connected. */
     RetryingSocketChannel() {
@@ -26,10 +26,10 @@
     }
 
     /** One that a listener has accepted, after a spell of failures in which it may have waited for so long. */
-    RetryingSocketChannel(Channel listener, SocketChannel socket, double waitedMs) {
+    RetryingSocketChannel(Channel listener, SocketChannel socket, double queueWaitMs) {
         super(listener, socket);
         accepted = true;
-        readDelayMs = waitedMs;
+        readDelayMs = queueWaitMs;
     }
 
     /** How long the bytes that are being read may have waited, at most, for calls that failed. */
@@ -38,8 +38,8 @@
     }
 
     /** Whether the last read failed for the moment: what has come is not known then. */
-    boolean readFails() {
-        return reads.on();
+    boolean readFailing() {
+        return readFailures.on();
     }
 
     /** Whether nothing that was written here still waits for the system to take it. */
@@ -49,13 +49,13 @@
     }
 
     /** What is read from here on has come since. */
-    void readDelayOver() {
+    void resetReadDelay() {
         readDelayMs = 0;
     }
 
-    private boolean passes(IOException e, FailureSpell spell) {
-        return (TransientErrors.ofTheSystem(e) || accepted && TransientErrors.ofTheWay(e))
-                && spell.failed() < LONGEST_SPELL_MS;
+    private boolean isRetried(IOException e, FailureSpell failures) {
+        return (TransientErrors.isSystemError(e) || accepted && TransientErrors.isUnreachable(e))
+                && failures.failed() < MAX_FAILING_MS;
     }
 
     @Override
@@ -64,16 +64,16 @@
         try {
             read = super.doReadBytes(to);
         } catch (IOException e) {
-            if (passes(e, reads)) {
+            if (isRetried(e, readFailures)) {
                 return 0; // what waits is read in the loop's next turn
             }
             throw e;
         }
         if (read < END_OF_STREAM) { // interrupted
-            reads.failed();
+            readFailures.failed();
             return 0;
         }
-        readDelayMs = Math.max(readDelayMs, reads.over());
+        readDelayMs = Math.max(readDelayMs, readFailures.over());
         return read;
     }
 
@@ -82,12 +82,12 @@
         try {
             super.doWrite(from);
         } catch (IOException e) {
-            if (!passes(e, writes)) {
+            if (!isRetried(e, writeFailures)) {
                 throw e;
             }
             setOpWrite(); // the rest is written in the loop's next turn
             return;
         }
-        writes.over();
+        writeFailures.over();
     }
 }
--- a/src/main/java/deckfall/net/TransientErrors.java
+++ b/src/main/java/deckfall/net/TransientErrors.java
@@ -8,12 +8,12 @@
  * moment later. Java tells the errors of Linux by their texts alone.
  */
 final class TransientErrors {
-    private static final Set<String> OF_THE_SYSTEM = Set.of(
+    private static final Set<String> SYSTEM_ERROR_MESSAGES = Set.of(
             "Interrupted system call", // EINTR
             "Resource temporarily unavailable", // EAGAIN
             "No buffer space available", // ENOBUFS
             "Cannot allocate memory"); // ENOMEM
-    private static final Set<String> OF_THE_WAY = Set.of(
+    private static final Set<String> UNREACHABLE_MESSAGES = Set.of(
             "Connection timed out", // ETIMEDOUT
             "No route to host", // EHOSTUNREACH
             "Network is unreachable", // ENETUNREACH
@@ -22,15 +22,15 @@
     private TransientErrors() {}
 
     /** The system lacked something for a moment. */
-    static boolean ofTheSystem(IOException e) {
-        return OF_THE_SYSTEM.contains(String.valueOf(e.getMessage()));
+    static boolean isSystemError(IOException e) {
+        return SYSTEM_ERROR_MESSAGES.contains(String.valueOf(e.getMessage()));
     }
 
     /**
      * The peer could not be reached. Where that has ended the connection, the next read finds its end, which must not
      * be taken for an end that the peer wanted: only who needs no more from the peer may read again.
      */
-    static boolean ofTheWay(IOException e) {
-        return OF_THE_WAY.contains(String.valueOf(e.getMessage()));
+    static boolean isUnreachable(IOException e) {
+        return UNREACHABLE_MESSAGES.contains(String.valueOf(e.getMessage()));
     }
 }
--- a/src/test/java/deckfall/net/AcceptRetryTest.java
+++ b/src/test/java/deckfall/net/AcceptRetryTest.java
@@ -37,7 +37,7 @@
         EmbeddedChannel listener = failed();
         assertEquals(1, roomMade.get());
         assertFalse(listener.config().isAutoRead());
-        listener.advanceTimeBy(AcceptRetry.RETRY_MS, TimeUnit.MILLISECONDS);
+        listener.advanceTimeBy(AcceptRetry.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         listener.runScheduledPendingTasks();
         assertTrue(listener.config().isAutoRead());
     }
@@ -46,7 +46,7 @@
     void aListenerThatWasStoppedStaysSo() {
         EmbeddedChannel listener = failed();
         retry.stop(listener);
-        listener.advanceTimeBy(AcceptRetry.RETRY_MS, TimeUnit.MILLISECONDS);
+        listener.advanceTimeBy(AcceptRetry.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         listener.runScheduledPendingTasks();
         assertFalse(listener.config().isAutoRead());
     }
@@ -83,7 +83,7 @@
                         for (int i = 0; i < count; i++) {
                             clients.add(new Socket(address.getAddress(), address.getPort()));
                         }
-                        return listener.acceptAll();
+                        return listener.acceptQueued();
                     })
                     .sync()
                     .getNow();
