--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -31,42 +31,43 @@
 
 /** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final int MOST_AHEAD = 512 * 1024; // what is read ahead on one connection; then reading stops
-    private static final int HEAD_BYTES = 2048; // what a head that is read ahead takes, about
-    private static final long UNSEEN_MS = 80; // an attempt may begin until 100 ms after its client has gone
-    private static final long HEAD_MS = 2500; // a peer that has sent no whole head by then is told so
-    private static final double SLOWEST_BYTES_PER_MS = 32; // a body that comes more slowly is given up
-    private static final long DROP_MS = 2000; // how long the rest of an unwanted body is read
-    private static final int UNCOUNTED = 4096; // answers so small that they always find room
-    private static final int SCHEME_END = 3;
+    private static final int MAX_READ_AHEAD_BYTES =
+            512 * 1024; // what is read ahead on one connection; then reading stops
+    private static final int HEAD_SIZE_ESTIMATE_BYTES = 2048; // what a head that is read ahead takes, about
+    private static final long MAX_READ_PAUSE_MS = 80; // an attempt may begin until 100 ms after its client has gone
+    private static final long REQUEST_TIMEOUT_MS = 2500; // a peer that has sent no whole head by then is told so
+    private static final double MIN_BODY_BYTES_PER_MS = 32; // a body that comes more slowly is given up
+    private static final long DISCARD_TIMEOUT_MS = 2000; // how long the rest of an unwanted body is read
+    private static final int MAX_UNCOUNTED_RESPONSE_BYTES = 4096; // answers so small that they always find room
+    private static final int SCHEME_SEPARATOR_LENGTH = 3;
     private static final double MS_PER_SECOND = 1000;
-    private static final String READY = "/healthz";
+    private static final String READINESS_PATH = "/healthz";
 
     /** A part of a request, and when it was read. */
-    private record Arrival(HttpObject message, double atMs) {}
+    private record QueuedMessage(HttpObject message, double readMs) {}
 
     private final ClientServer server;
     private final Node node;
     private final RetryingSocketChannel channel;
     private final StrictRequestDecoder decoder;
-    private final ArrayDeque<Arrival> waiting = new ArrayDeque<>();
+    private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
     private CloseReason closeReason; // null while the client alone could end it
-    private int waitingBytes;
-    private Future<?> unseen; // ends the time for which its client's leaving may not be seen
-    private boolean lastAnswer; // the connection ends with the answer that is being passed on
+    private int queuedBytes;
+    private Future<?> readPauseTimeout; // ends the time for which its client's leaving may not be seen
+    private boolean closeAfterTransfer; // the connection ends with the answer that is being passed on
     private IncomingRequest incoming; // until its last byte has come
-    private OpenRequest current;
+    private OpenRequest openRequest;
     private ResponseTransfer transfer;
-    private boolean known; // a whole request has come on it
+    private boolean hasSentRequest; // a whole request has come on it
     private boolean busy;
     private boolean keepAlive = true;
-    private boolean oldVersion; // the current request's: its client reads no chunks
-    private boolean unbounded; // the end of the connection is the end of the answer
-    private boolean ended; // the last answer is on its way
-    private boolean dropping; // what still comes of a body that nobody wants
-    private double headSince; // when a head that is not whole began to come
-    private double usedAt;
-    private double arrivedAt; // when what is being looked at was read: its client's time goes on from there
+    private boolean http10; // the current request's: its client reads no chunks
+    private boolean closeDelimited; // the end of the connection is the end of the answer
+    private boolean closing; // the last answer is on its way
+    private boolean discarding; // what still comes of a body that nobody wants
+    private double partialHeadSinceMs; // when a head that is not whole began to come
+    private double lastUsedMs;
+    private double messageReadMs; // when what is being looked at was read: its client's time goes on from there
 
     ClientConnection(ClientServer server, Node node, RetryingSocketChannel channel, StrictRequestDecoder decoder) {
         this.server = server;
@@ -79,29 +80,29 @@
     public void channelActive(ChannelHandlerContext ctx) {
         node.loopDelay.observeDelayMs();
         server.opened(this);
-        usedAt = node.clock.now();
-        headSince = usedAt; // a stranger's time counts from its connecting
-        if (!server.admits(this) && quiet()) {
+        lastUsedMs = node.clock.now();
+        partialHeadSinceMs = lastUsedMs; // a stranger's time counts from its connecting
+        if (!server.admits(this) && safeToClose()) {
             close(CloseReason.NO_DESCRIPTOR);
         }
     }
 
     /** Ends it without a further answer; a client that ends it meanwhile goes first. */
-    void close(CloseReason why) {
+    void close(CloseReason reason) {
         server.ended(this); // now, as its end is told only later
         if (closeReason == null && channel.isActive()) {
-            closeReason = why;
+            closeReason = reason;
         }
         channel.close();
     }
 
     /** Whether a close would lose nothing, not even what has come and the loop has not seen yet. */
-    boolean quiet() {
+    boolean safeToClose() {
         readNow();
         return !busy
-                && !ended
+                && !closing
                 && incoming == null
-                && waiting.isEmpty()
+                && queue.isEmpty()
                 && !decoder.hasPartialMessage()
                 && !channel.readFailing()
                 && channel.allWritten();
@@ -114,45 +115,51 @@
     }
 
     /** Silence, or a request that never becomes whole: whoever it is may be waiting for a word. */
-    void expelIfLate(double now) {
+    void closeIfTooSlow(double now) {
         if (transfer != null) {
             transfer.abortIfStalled(now);
-        } else if (dropping) {
-            if (now - usedAt > DROP_MS) {
+        } else if (discarding) {
+            if (now - lastUsedMs > DISCARD_TIMEOUT_MS) {
                 close(CloseReason.SLOW);
             }
         } else if (incoming != null) {
-            double ms = now - incoming.startedMs;
-            double late = known ? ms : now - headSince; // a stranger's time counts from its connecting
-            if (late > HEAD_MS
+            double elapsedMs = now - incoming.startedMs;
+            double waitedMs = hasSentRequest
+                    ? elapsedMs
+                    : now - partialHeadSinceMs; // a stranger's time counts from its connecting
+            if (waitedMs > REQUEST_TIMEOUT_MS
                     && channel.config().isAutoRead()
-                    && incoming.receivedBytes() < ms * SLOWEST_BYTES_PER_MS) {
-                expel(HttpResponseStatus.REQUEST_TIMEOUT);
+                    && incoming.receivedBytes() < elapsedMs * MIN_BODY_BYTES_PER_MS) {
+                respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
             }
-        } else if (!busy && !ended && waiting.isEmpty() && headSince > 0 && now - headSince > HEAD_MS) {
-            expel(HttpResponseStatus.REQUEST_TIMEOUT);
+        } else if (!busy
+                && !closing
+                && queue.isEmpty()
+                && partialHeadSinceMs > 0
+                && now - partialHeadSinceMs > REQUEST_TIMEOUT_MS) {
+            respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
 
-    void closeUnanswered() {
+    void closeAtDrainEnd() {
         readNow();
-        next(); // what has been read is a request
-        if (incoming != null && !ended) {
+        processQueue(); // what has been read is a request
+        if (incoming != null && !closing) {
             respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
-        } else if (!busy && !ended) {
-            ended = true;
+        } else if (!busy && !closing) {
+            closing = true;
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER) // behind all answers that still wait
                     .addListener(f -> close(CloseReason.DRAINED));
         }
     }
 
-    private void expel(HttpResponseStatus status) {
+    private void respondAndClose(HttpResponseStatus status) {
         keepAlive = false;
         busy = true;
         server.idle(this, false);
-        OpenRequest left = current;
-        if (left != null) {
-            node.clientLeft(left); // its body will not become whole, or nothing shows whether its client waits
+        OpenRequest unfinished = openRequest;
+        if (unfinished != null) {
+            node.clientLeft(unfinished); // its body will not become whole, or nothing shows whether its client waits
         }
         respond(status, 0);
     }
@@ -160,16 +167,16 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         server.ended(this);
-        node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unanswered());
-        dropWaiting();
-        ended = true;
-        if (unseen != null) {
-            unseen.cancel(false);
+        node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
+        discardQueue();
+        closing = true;
+        if (readPauseTimeout != null) {
+            readPauseTimeout.cancel(false);
         }
-        OpenRequest left = current;
-        current = null;
-        if (left != null) {
-            node.clientLeft(left);
+        OpenRequest unfinished = openRequest;
+        openRequest = null;
+        if (unfinished != null) {
+            node.clientLeft(unfinished);
         }
         if (transfer != null) {
             transfer.clientLeft();
@@ -182,24 +189,24 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (dropping && message instanceof LastHttpContent) {
+        if (discarding && message instanceof LastHttpContent) {
             close(CloseReason.ANSWERED);
         }
-        if (ended) {
+        if (closing) {
             ReferenceCountUtil.release(message);
             return;
         }
         double delayMs = Math.max(node.loopDelay.observeDelayMs(), channel.readDelayMs());
-        waiting.add(new Arrival((HttpObject) message, node.clock.now() - delayMs));
-        account(bytes(message));
+        queue.add(new QueuedMessage((HttpObject) message, node.clock.now() - delayMs));
+        addQueuedBytes(sizeBytes(message));
     }
 
     /** How many whole requests have been read and not been answered, nor begun to be. */
-    private int unanswered() {
-        long whole = waiting.stream()
+    private int unansweredRequests() {
+        long completeRequests = queue.stream()
                 .filter(a -> a.message() instanceof LastHttpContent)
                 .count();
-        return (int) whole + (current != null && current.message.complete() ? 1 : 0);
+        return (int) completeRequests + (openRequest != null && openRequest.message.complete() ? 1 : 0);
     }
 
     /**
@@ -210,96 +217,97 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         server.idle(this, false); // a close would lose what has been read
         channel.resetReadDelay();
-        node.loop.execute(this::look);
+        node.loop.execute(this::processRead);
     }
 
-    private void look() {
+    private void processRead() {
         if (!channel.isActive()) {
             return;
         }
         try {
-            next();
+            processQueue();
         } catch (RuntimeException | Error e) { // no handler of the channel's hears of it in this turn
-            broken(e);
+            closeOnError(e);
             return;
         }
         boolean partial = !busy && decoder.hasPartialMessage();
-        if (!partial && known) {
-            headSince = 0;
-        } else if (headSince == 0) {
-            headSince = node.clock.now();
+        if (!partial && hasSentRequest) {
+            partialHeadSinceMs = 0;
+        } else if (partialHeadSinceMs == 0) {
+            partialHeadSinceMs = node.clock.now();
         }
         if (partial) {
             server.idle(this, false); // a close would lose a request of which a part has been read
-        } else if (!busy && !ended && waiting.isEmpty()) {
+        } else if (!busy && !closing && queue.isEmpty()) {
             server.idle(this, true);
         }
     }
 
-    private int bytes(Object message) {
+    private int sizeBytes(Object message) {
         return (message instanceof HttpContent c ? c.content().readableBytes() : 0)
-                + (message instanceof HttpRequest ? HEAD_BYTES : 0);
+                + (message instanceof HttpRequest ? HEAD_SIZE_ESTIMATE_BYTES : 0);
     }
 
-    private void account(int bytes) {
-        waitingBytes += bytes;
+    private void addQueuedBytes(int bytes) {
+        queuedBytes += bytes;
         node.room.reserve(bytes);
     }
 
-    private void dropWaiting() {
-        waiting.forEach(a -> ReferenceCountUtil.release(a.message()));
-        waiting.clear();
-        account(-waitingBytes);
+    private void discardQueue() {
+        queue.forEach(a -> ReferenceCountUtil.release(a.message()));
+        queue.clear();
+        addQueuedBytes(-queuedBytes);
     }
 
-    private void next() {
-        while (!ended && !waiting.isEmpty() && (incoming != null || !busy)) {
-            Arrival next = waiting.poll();
+    private void processQueue() {
+        while (!closing && !queue.isEmpty() && (incoming != null || !busy)) {
+            QueuedMessage next = queue.poll();
             HttpObject message = next.message();
-            arrivedAt = next.atMs();
-            account(-bytes(message));
+            messageReadMs = next.readMs();
+            addQueuedBytes(-sizeBytes(message));
             try {
                 if (message instanceof HttpRequest head) {
                     beginResponse(head);
                 }
                 if (message instanceof HttpContent content && incoming != null) {
-                    part(content);
+                    handleContent(content);
                 }
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
-        readOn();
+        updateAutoRead();
     }
 
     /** Reads on while there is room for what comes; a request read ahead waits as it came. */
-    private void readOn() {
-        boolean wanted = incoming != null && !ended
+    private void updateAutoRead() {
+        boolean autoRead = incoming != null && !closing
                 ? incoming.acceptsMore()
-                : waitingBytes < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MOST_AHEAD);
-        if (channel.config().isAutoRead() != wanted) {
-            channel.config().setAutoRead(wanted);
+                : queuedBytes
+                        < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MAX_READ_AHEAD_BYTES);
+        if (channel.config().isAutoRead() != autoRead) {
+            channel.config().setAutoRead(autoRead);
         }
-        boolean matters = !wanted && !ended && !(incoming != null && incoming.streamed());
-        if (!matters && unseen != null) {
-            unseen.cancel(false);
-            unseen = null;
-        } else if (matters && unseen == null) {
-            unseen = node.loop.schedule(this::refuseUnseen, UNSEEN_MS, TimeUnit.MILLISECONDS);
+        boolean mayHideClose = !autoRead && !closing && !(incoming != null && incoming.streamed());
+        if (!mayHideClose && readPauseTimeout != null) {
+            readPauseTimeout.cancel(false);
+            readPauseTimeout = null;
+        } else if (mayHideClose && readPauseTimeout == null) {
+            readPauseTimeout = node.loop.schedule(this::onReadPauseTimeout, MAX_READ_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** No close is seen behind what is not read, and nothing may be sent on for a client that has gone. */
-    private void refuseUnseen() {
-        unseen = null;
-        readOn(); // memory may have become free
-        if (unseen == null) {
+    private void onReadPauseTimeout() {
+        readPauseTimeout = null;
+        updateAutoRead(); // memory may have become free
+        if (readPauseTimeout == null) {
             return;
         }
         if (transfer != null) {
-            lastAnswer = true;
+            closeAfterTransfer = true;
         } else {
-            expel(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
     }
 
@@ -312,33 +320,33 @@
     private void beginResponse(HttpRequest head) {
         busy = true;
         server.idle(this, false);
-        oldVersion = head.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
-        if (head.decoderResult().isFailure() || !framed(head)) {
+        http10 = head.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
+        if (head.decoderResult().isFailure() || !hasUnambiguousLength(head)) {
             keepAlive = false; // where the next request would begin is not known
             respond(HttpResponseStatus.BAD_REQUEST, 0);
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
         incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
-        incoming.onAcceptsMore(this::readOn);
+        incoming.onAcceptsMore(this::updateAutoRead);
         if (incoming.tooLong()) {
             respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
         } else if (head.headers().contains(HttpHeaderNames.EXPECT)) {
-            expected(head);
+            handleExpect(head);
         }
     }
 
     /** Answers before the body has come, if only by the word to send it. */
-    private void expected(HttpRequest head) {
+    private void handleExpect(HttpRequest head) {
         if (!HttpUtil.is100ContinueExpected(head)) {
             respond(HttpResponseStatus.EXPECTATION_FAILED, 0);
             return;
         }
-        Request read = server.requests().read(incoming, arrivedAt);
-        if (read == null) {
-            answerUnread(incoming);
-        } else if (refusesAll()) {
-            refuseAtDoor(read);
+        Request request = server.requests().read(incoming, messageReadMs);
+        if (request == null) {
+            respondInvalid(incoming);
+        } else if (refusesNewRequests()) {
+            refuseOverload(request);
         } else if (incoming.hasBody()) {
             channel.writeAndFlush(
                     new DefaultFullHttpResponse(
@@ -347,61 +355,61 @@
         }
     }
 
-    private void part(HttpContent content) {
+    private void handleContent(HttpContent content) {
         IncomingRequest message = incoming;
         if (content.decoderResult().isFailure()) {
-            malformed();
+            rejectMalformed();
             return;
         }
         message.add(content.content());
         if (message.tooLong()) {
-            malformed();
+            rejectMalformed();
         } else if (content instanceof LastHttpContent) {
             incoming = null;
-            known = true;
-            whole(message);
-        } else if (current == null && message.exceedsKeptSize()) {
-            take(message);
+            hasSentRequest = true;
+            requestComplete(message);
+        } else if (openRequest == null && message.exceedsKeptSize()) {
+            admit(message);
         }
     }
 
     /** The rest of the body can't be told from what comes after it. */
-    private void malformed() {
+    private void rejectMalformed() {
         keepAlive = false;
-        OpenRequest left = current;
-        if (left != null) {
-            node.clientLeft(left);
+        OpenRequest unfinished = openRequest;
+        if (unfinished != null) {
+            node.clientLeft(unfinished);
         }
         respond(HttpResponseStatus.BAD_REQUEST, 0);
     }
 
-    private void whole(IncomingRequest message) {
+    private void requestComplete(IncomingRequest message) {
         message.markComplete();
-        if (current != null) { // taken before
-            Request read = server.requests().read(message, arrivedAt);
-            node.bodyCame(current, read.deadlineMs());
-        } else if (message.uri.equals(READY)) {
+        if (openRequest != null) { // taken before
+            Request request = server.requests().read(message, messageReadMs);
+            node.bodyCame(openRequest, request.deadlineMs());
+        } else if (message.uri.equals(READINESS_PATH)) {
             message.release();
             respond(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         } else {
-            take(message);
+            admit(message);
         }
     }
 
-    private void take(IncomingRequest message) {
-        Request read = server.requests().read(message, arrivedAt);
-        if (read == null) {
+    private void admit(IncomingRequest message) {
+        Request request = server.requests().read(message, messageReadMs);
+        if (request == null) {
             message.release();
-            answerUnread(message);
-        } else if (refusesAll() || node.clock.now() >= read.deadlineMs()) {
+            respondInvalid(message);
+        } else if (refusesNewRequests() || node.clock.now() >= request.deadlineMs()) {
             message.release();
-            refuseAtDoor(read);
+            refuseOverload(request);
         } else {
-            node.taken(read, message, this);
+            node.taken(request, message, this);
         }
     }
 
-    private void answerUnread(IncomingRequest message) {
+    private void respondInvalid(IncomingRequest message) {
         respond(
                 message.head.headers().contains(HeaderNames.TRACE_ID)
                         ? HttpResponseStatus.BAD_REQUEST
@@ -409,59 +417,61 @@
                 0);
     }
 
-    private boolean refusesAll() {
+    private boolean refusesNewRequests() {
         return node.full() || node.room.exhausted() || node.over();
     }
 
-    private void refuseAtDoor(Request read) {
-        node.figures.recordResult(read.requestClass(), Metrics.Result.OVERLOAD);
+    private void refuseOverload(Request request) {
+        node.figures.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
         respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
     }
 
     /** When it was last used, on the node's clock. */
-    double usedAt() {
-        return usedAt;
+    double lastUsedMs() {
+        return lastUsedMs;
     }
 
     /** Whether a whole request has come on it. */
-    boolean known() {
-        return known;
+    boolean hasSentRequest() {
+        return hasSentRequest;
     }
 
     void setOpenRequest(OpenRequest r) {
-        current = r;
+        openRequest = r;
     }
 
     /** Passes a host's answer on as it came. */
-    void sendResponse(FullHttpResponse from) {
-        FullHttpResponse to = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
-        String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+    void sendResponse(FullHttpResponse hostResponse) {
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.OK,
+                hostResponse.content().retain());
+        String type = hostResponse.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
-            to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
         }
-        write(to);
+        write(response);
     }
 
     /** Passes on the head of an answer whose body comes by and by. */
-    void beginResponse(HttpResponse from, ResponseTransfer by) {
-        HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+    void beginResponse(HttpResponse hostResponse, ResponseTransfer responseTransfer) {
+        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         for (CharSequence name : List.of(HttpHeaderNames.CONTENT_TYPE, HttpHeaderNames.CONTENT_LENGTH)) {
-            String value = from.headers().get(name);
+            String value = hostResponse.headers().get(name);
             if (value != null) {
-                to.headers().set(name, value);
+                response.headers().set(name, value);
             }
         }
-        if (!HttpUtil.isContentLengthSet(to)) {
-            unbounded = oldVersion;
-            HttpUtil.setTransferEncodingChunked(to, !unbounded);
+        if (!HttpUtil.isContentLengthSet(response)) {
+            closeDelimited = http10;
+            HttpUtil.setTransferEncodingChunked(response, !closeDelimited);
         }
-        transfer = by;
-        current = null;
-        prepare(to);
-        channel.write(to, channel.voidPromise());
+        transfer = responseTransfer;
+        openRequest = null;
+        setConnectionHeader(response);
+        channel.write(response, channel.voidPromise());
     }
 
     /** Takes over what it is given. */
@@ -482,7 +492,7 @@
         transfer = null;
         ChannelFuture lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         lastWrite.addListener(listener);
-        answered(lastWrite);
+        responseWritten(lastWrite);
     }
 
     /** The rest of the answer will not come: a reset is the one end that nobody takes for a whole answer. */
@@ -506,57 +516,57 @@
     private void write(FullHttpResponse response) {
         int bytes = response.content().readableBytes();
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
-        prepare(response);
-        if (ended || bytes > UNCOUNTED) {
+        setConnectionHeader(response);
+        if (closing || bytes > MAX_UNCOUNTED_RESPONSE_BYTES) {
             node.room.reserve(bytes); // until a slow client has taken it
             ChannelFuture sent = channel.writeAndFlush(response);
             sent.addListener(f -> node.room.release(bytes));
-            answered(sent);
+            responseWritten(sent);
         } else {
             channel.writeAndFlush(response, channel.voidPromise());
-            answered(null);
+            responseWritten(null);
         }
     }
 
     /** Settles whether the connection goes on after this answer. */
-    private void prepare(HttpResponse response) {
-        boolean last = !keepAlive || unbounded || incoming != null;
-        ended = last || (node.draining() || server.aboveKeepAliveLimit()) && !moreHasCome();
-        if (ended) {
+    private void setConnectionHeader(HttpResponse response) {
+        boolean mustClose = !keepAlive || closeDelimited || incoming != null;
+        closing = mustClose || (node.draining() || server.aboveKeepAliveLimit()) && !hasReadAhead();
+        if (closing) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        } else if (oldVersion) {
+        } else if (http10) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
 
     /** Whether some of a further request has been read already, which would get no answer behind the last one. */
-    private boolean moreHasCome() {
+    private boolean hasReadAhead() {
         readNow();
-        return !waiting.isEmpty() || decoder.hasPartialMessage();
+        return !queue.isEmpty() || decoder.hasPartialMessage();
     }
 
     /** What follows an answer; {@code sent} is needed where it is the last one. */
-    private void answered(ChannelFuture sent) {
-        current = null;
+    private void responseWritten(ChannelFuture sent) {
+        openRequest = null;
         busy = false;
-        usedAt = node.clock.now();
-        ended |= lastAnswer;
-        if (ended) {
-            end(sent);
+        lastUsedMs = node.clock.now();
+        closing |= closeAfterTransfer;
+        if (closing) {
+            closeAfter(sent);
             return;
         }
-        if (waiting.isEmpty()) {
+        if (queue.isEmpty()) {
             server.idle(this, true);
         } else { // not at once: an answer may be given while the request is being taken
-            node.loop.execute(this::look);
+            node.loop.execute(this::processRead);
         }
     }
 
     /** A client that is still sending would lose its answer to a close, so the rest is read for a while. */
-    private void end(ChannelFuture sent) {
-        dropWaiting();
-        dropping = incoming != null;
-        if (dropping) {
+    private void closeAfter(ChannelFuture sent) {
+        discardQueue();
+        discarding = incoming != null;
+        if (discarding) {
             incoming.release();
             incoming = null;
             sent.addListener(f -> channel.shutdownOutput());
@@ -575,19 +585,19 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        broken(cause);
+        closeOnError(cause);
     }
 
-    private void broken(Throwable cause) {
-        boolean network = cause instanceof IOException;
-        if (!network) {
+    private void closeOnError(Throwable cause) {
+        boolean ioError = cause instanceof IOException;
+        if (!ioError) {
             Node.log("defect: a client's connection ended by " + cause);
         }
-        close(network ? CloseReason.BROKEN : CloseReason.DEFECT);
+        close(ioError ? CloseReason.BROKEN : CloseReason.DEFECT);
     }
 
     /** Whether the request's length can be read in one way only. */
-    private static boolean framed(HttpRequest head) {
+    private static boolean hasUnambiguousLength(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
                 || codings.size() == 1
@@ -598,11 +608,11 @@
 
     /** A client may name the whole address, as it would to a proxy; hosts are asked for path and query. */
     private static String originForm(String uri) {
-        int authority = uri.startsWith("/") ? -1 : uri.indexOf("://");
-        if (authority < 0) {
+        int schemeEnd = uri.startsWith("/") ? -1 : uri.indexOf("://");
+        if (schemeEnd < 0) {
             return uri;
         }
-        int path = uri.indexOf('/', authority + SCHEME_END);
-        return path < 0 ? "/" : uri.substring(path);
+        int pathStart = uri.indexOf('/', schemeEnd + SCHEME_SEPARATOR_LENGTH);
+        return pathStart < 0 ? "/" : uri.substring(pathStart);
     }
 }
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -115,7 +115,7 @@
     void closeIdle(double minIdleMs) {
         double usedBeforeMs = node.clock.now() - minIdleMs;
         for (ClientConnection c : List.copyOf(idle)) {
-            if (c.usedAt() <= usedBeforeMs && c.quiet()) {
+            if (c.lastUsedMs() <= usedBeforeMs && c.safeToClose()) {
                 lastActivityMs = node.clock.now();
                 c.close(CloseReason.DRAINED);
             }
@@ -125,7 +125,7 @@
     /** Leaves open only what an answer is on its way on: whoever has sent a part of a request is told no. */
     void closeAll() {
         stopAccepting();
-        List.copyOf(connections).forEach(ClientConnection::closeUnanswered);
+        List.copyOf(connections).forEach(ClientConnection::closeAtDrainEnd);
     }
 
     boolean idle() {
@@ -208,8 +208,8 @@
             if (closed >= most) {
                 return;
             }
-            boolean fresh = !c.known() && node.clock.now() - c.usedAt() < FRESH_MS;
-            if (c != newcomer && (!fresh || descriptorsHeld() > mostHeld()) && c.quiet()) {
+            boolean fresh = !c.hasSentRequest() && node.clock.now() - c.lastUsedMs() < FRESH_MS;
+            if (c != newcomer && (!fresh || descriptorsHeld() > mostHeld()) && c.safeToClose()) {
                 c.close(CloseReason.SHED);
                 closed++;
             }
@@ -220,7 +220,7 @@
     private void watch() {
         double now = node.clock.now();
         for (ClientConnection c : List.copyOf(connections)) {
-            c.expelIfLate(now);
+            c.closeIfTooSlow(now);
         }
         if (aboveKeepAliveLimit()) {
             shed(null, descriptorsHeld() - limits.maxKeepAlive());
