--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -79,17 +79,17 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         node.loopDelay.observeDelayMs();
-        server.opened(this);
+        server.connectionOpened(this);
         lastUsedMs = node.clock.now();
         partialHeadSinceMs = lastUsedMs; // a stranger's time counts from its connecting
-        if (!server.admits(this) && safeToClose()) {
+        if (!server.makeRoomFor(this) && safeToClose()) {
             close(CloseReason.NO_DESCRIPTOR);
         }
     }
 
     /** Ends it without a further answer; a client that ends it meanwhile goes first. */
     void close(CloseReason reason) {
-        server.ended(this); // now, as its end is told only later
+        server.connectionClosed(this); // now, as its end is told only later
         if (closeReason == null && channel.isActive()) {
             closeReason = reason;
         }
@@ -166,7 +166,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.ended(this);
+        server.connectionClosed(this);
         node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
         discardQueue();
         closing = true;
@@ -342,7 +342,7 @@
             respond(HttpResponseStatus.EXPECTATION_FAILED, 0);
             return;
         }
-        Request request = server.requests().read(incoming, messageReadMs);
+        Request request = server.requestReader().read(incoming, messageReadMs);
         if (request == null) {
             respondInvalid(incoming);
         } else if (refusesNewRequests()) {
@@ -386,7 +386,7 @@
     private void requestComplete(IncomingRequest message) {
         message.markComplete();
         if (openRequest != null) { // taken before
-            Request request = server.requests().read(message, messageReadMs);
+            Request request = server.requestReader().read(message, messageReadMs);
             node.bodyCame(openRequest, request.deadlineMs());
         } else if (message.uri.equals(READINESS_PATH)) {
             message.release();
@@ -397,7 +397,7 @@
     }
 
     private void admit(IncomingRequest message) {
-        Request request = server.requests().read(message, messageReadMs);
+        Request request = server.requestReader().read(message, messageReadMs);
         if (request == null) {
             message.release();
             respondInvalid(message);
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -18,40 +18,41 @@
 /** Accepts clients, reads their requests, and writes the one answer to each. */
 final class ClientServer {
     static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
-    private static final int LEAST_READ = 256;
-    private static final int FIRST_READ = 2048;
-    private static final int MOST_READ = 16 * 1024; // many are under way at once
-    private static final int BACKLOG = 512;
-    private static final double FRESH_MS = 10; // in which a connection's first request may be on its way
-    private static final long WATCH_MS = 100;
+    private static final int MIN_READ_BUFFER_BYTES = 256;
+    private static final int INITIAL_READ_BUFFER_BYTES = 2048;
+    private static final int MAX_READ_BUFFER_BYTES = 16 * 1024; // many are under way at once
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final double FIRST_REQUEST_GRACE_MS = 10; // in which a connection's first request may be on its way
+    private static final long CHECK_INTERVAL_MS = 100;
 
     private final Node node;
-    private final RequestReader requests;
+    private final RequestReader requestReader;
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
     private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger connectionCount = new AtomicInteger();
     private final ConnectionLimits limits;
     private AcceptRetry acceptRetry; // the present listener's
     private RetryingServerSocketChannel listener;
     private double lastActivityMs;
     private boolean sharesListener;
-    private boolean watching;
+    private boolean checksScheduled;
 
     ClientServer(Node node) {
         this.node = node;
-        requests = new RequestReader(node.config.settings());
+        requestReader = new RequestReader(node.config.settings());
         limits = new ConnectionLimits(node.config.sockets());
     }
 
     /** Buffers that grow with what comes, from little. */
     static RecvByteBufAllocator readBufferAllocator() {
-        return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MOST_READ);
+        return new AdaptiveRecvByteBufAllocator(
+                MIN_READ_BUFFER_BYTES, INITIAL_READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES);
     }
 
     /** Clients are served once this has succeeded: at the inherited listener, else at the configured address. */
     ChannelFuture start(ServerSocketChannel inherited) {
         sharesListener = inherited != null;
-        acceptRetry = new AcceptRetry(this::shedIfCrowded);
+        acceptRetry = new AcceptRetry(this::shedIfAboveKeepAliveLimit);
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(node.group)
                 .channelFactory(() ->
@@ -71,20 +72,21 @@
                                         new ClientConnection(ClientServer.this, node, ch, decoder));
                     }
                 });
-        ChannelFuture opened = sharesListener
+        ChannelFuture bindFuture = sharesListener
                 ? bootstrap.register()
                 : bootstrap
-                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .bind(node.config.listen());
-        if (opened.channel() instanceof RetryingServerSocketChannel channel) {
+        if (bindFuture.channel() instanceof RetryingServerSocketChannel channel) {
             listener = channel;
         }
-        if (!watching) {
-            watching = true;
-            node.loop.scheduleAtFixedRate(this::watch, WATCH_MS, WATCH_MS, TimeUnit.MILLISECONDS);
+        if (!checksScheduled) {
+            checksScheduled = true;
+            node.loop.scheduleAtFixedRate(
+                    this::checkConnections, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
-        return opened;
+        return bindFuture;
     }
 
     /** Whether another process may serve clients of the same listener. */
@@ -139,7 +141,7 @@
 
     /** From any thread: about how many clients' connections are open. */
     int connections() {
-        return open.get();
+        return connectionCount.get();
     }
 
     Channel listener() {
@@ -156,26 +158,26 @@
         return descriptorsHeld() > limits.maxKeepAlive();
     }
 
-    private int mostHeld() {
+    private int maxClientDescriptors() {
         return limits.maxClients(node.hostsHeld());
     }
 
     /** What a client's message is read with. */
-    RequestReader requests() {
-        return requests;
+    RequestReader requestReader() {
+        return requestReader;
     }
 
-    void opened(ClientConnection c) {
+    void connectionOpened(ClientConnection c) {
         connections.add(c);
-        open.set(connections.size());
+        connectionCount.set(connections.size());
         idle.add(c);
         lastActivityMs = node.clock.now();
     }
 
-    void ended(ClientConnection c) {
+    void connectionClosed(ClientConnection c) {
         idle.remove(c);
         connections.remove(c);
-        open.set(connections.size());
+        connectionCount.set(connections.size());
     }
 
     /** Whether nothing is asked on it, so that it may be closed. */
@@ -188,28 +190,31 @@
     }
 
     /** Makes room for a new connection; false where no descriptor is left for it. */
-    boolean admits(ClientConnection newcomer) {
+    boolean makeRoomFor(ClientConnection newConnection) {
         if (aboveKeepAliveLimit()) {
-            shed(newcomer, Math.max(1, descriptorsHeld() - mostHeld()));
+            shed(newConnection, Math.max(1, descriptorsHeld() - maxClientDescriptors()));
         }
-        return descriptorsHeld() <= mostHeld();
+        return descriptorsHeld() <= maxClientDescriptors();
     }
 
-    private void shedIfCrowded() {
+    private void shedIfAboveKeepAliveLimit() {
         if (aboveKeepAliveLimit()) {
             shed(null, 1);
         }
     }
 
     /** Closes up to so many idle connections, the longest idle first; not the one that has just come. */
-    private void shed(ClientConnection newcomer, int most) {
+    private void shed(ClientConnection newConnection, int maxClosed) {
         int closed = 0;
         for (ClientConnection c : List.copyOf(idle)) {
-            if (closed >= most) {
+            if (closed >= maxClosed) {
                 return;
             }
-            boolean fresh = !c.hasSentRequest() && node.clock.now() - c.lastUsedMs() < FRESH_MS;
-            if (c != newcomer && (!fresh || descriptorsHeld() > mostHeld()) && c.safeToClose()) {
+            boolean mayAwaitFirstRequest =
+                    !c.hasSentRequest() && node.clock.now() - c.lastUsedMs() < FIRST_REQUEST_GRACE_MS;
+            if (c != newConnection
+                    && (!mayAwaitFirstRequest || descriptorsHeld() > maxClientDescriptors())
+                    && c.safeToClose()) {
                 c.close(CloseReason.SHED);
                 closed++;
             }
@@ -217,7 +222,7 @@
     }
 
     /** Looks after peers that are too slow, whatever they do: one beat for all connections. */
-    private void watch() {
+    private void checkConnections() {
         double now = node.clock.now();
         for (ClientConnection c : List.copyOf(connections)) {
             c.closeIfTooSlow(now);
