--- a/src/test/java/deckfall/net/CrossingTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -45,25 +45,27 @@
 import org.junit.jupiter.api.Test;
 
 /** Two events that cross, in the bad order each time: one end of each is in the test's hands. */
-class CrossingTest {
-    private static final int HELD_FROM = 8; // requests for one host; from here on they wait for a place
-    private final Deque<Closeable> ends = new ArrayDeque<>();
-    private final BlockingQueue<Request> asked = new LinkedBlockingQueue<>(); // after the module has acted on it
+class RaceConditionTest {
+    private static final int MAX_REQUESTS_PER_HOST = 8; // requests for one host; from here on they wait for a place
+    private final Deque<Closeable> closeables = new ArrayDeque<>();
+    private final BlockingQueue<Request> handledRequests =
+            new LinkedBlockingQueue<>(); // after the module has acted on it
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> left = new LinkedBlockingQueue<>(); // whose client the module knows to be gone
+    private final BlockingQueue<String> clientsGone =
+            new LinkedBlockingQueue<>(); // whose client the module knows to be gone
     private final ManualClock clock = new ManualClock();
-    private DiscoveryServer registry;
+    private DiscoveryServer discovery;
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
+        for (Closeable c : closeables) {
             c.close();
         }
     }
 
-    private <T extends Closeable> T kept(T end) {
-        ends.push(end);
-        return end;
+    private <T extends Closeable> T closeLater(T closeable) {
+        closeables.push(closeable);
+        return closeable;
     }
 
     private static void echo(Message m, Socket s) throws IOException {
@@ -82,41 +84,41 @@
     }
 
     /** Connections may take as long as requests to come up. */
-    private Node node(Function<Actions, Events> module, UnaryOperator<String> change, String... entries)
+    private Node node(Function<Actions, Events> module, UnaryOperator<String> configChange, String... entries)
             throws IOException {
-        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
-        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"connect_timeout_ms\": 5000", "\"connect_timeout_ms\": 60000");
-        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(change.apply(config))), module, clock);
-        ends.push(node::stop);
+        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(configChange.apply(config))), module, clock);
+        closeables.push(node::stop);
         node.start();
         return node;
     }
 
     private Client client(Node node) throws IOException {
-        return kept(new Client(node));
+        return closeLater(new Client(node));
     }
 
     /** A module that sends each request to one host. */
-    private Function<Actions, Events> sending(String host) {
+    private Function<Actions, Events> sendingTo(String host) {
         return act -> new ScriptedModule(
                 (now, r) -> {
                     act.send(r.id(), host, 0);
-                    asked.add(r);
+                    handledRequests.add(r);
                 },
                 results::add);
     }
 
     /** The module itself, with what it was told of noted once it has acted on it. */
-    private Events noted(Actions act) {
+    private Events recorded(Actions act) {
         DecisionModule brain = new DecisionModule(act);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
                     Object answer = method.invoke(brain, args);
                     switch (method.getName()) {
-                        case "request" -> asked.add((Request) args[1]);
+                        case "request" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
-                        case "clientLeft" -> left.add((String) args[1]);
+                        case "clientLeft" -> clientsGone.add((String) args[1]);
                         default -> {}
                     }
                     return answer;
@@ -125,14 +127,14 @@
 
     /** The first byte counts: it would go to a draining host whenever the connection comes up. */
     @Test
-    void whatWaitsForAConnectionToAHostGoesElsewhereOnceThatDrains() throws Exception {
+    void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
         for (String state : new String[] {"draining", "gone"}) {
-            UnreachableServer slow = kept(new UnreachableServer());
-            Server other = kept(new Server(CrossingTest::echo));
-            Node node = node(this::noted, c -> c, hostEntry("h0", slow.address(), "ready"));
+            UnreachableServer slow = closeLater(new UnreachableServer());
+            Server other = closeLater(new Server(RaceConditionTest::echo));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", slow.address(), "ready"));
             Client c = client(node).send(orderRequest("o", "b"));
-            assertEquals("o", next(asked).id());
-            registry.updates.add(hostList(
+            assertEquals("o", next(handledRequests).id());
+            discovery.updates.add(hostList(
                     2, false, hostEntry("h0", slow.address(), state), hostEntry("h1", other.address(), "ready")));
             assertEquals("for o", c.receive().text());
             assertEquals(Outcome.FULL, next(results).outcome());
@@ -142,34 +144,34 @@
 
     /** The same where a host has restarted, or has left the list without a word. */
     @Test
-    void whatWaitsForAConnectionToAFormerLifeOfAHostIsTurnedBack() throws Exception {
+    void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
         String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
         for (String news : lists) {
-            UnreachableServer slow = kept(new UnreachableServer());
-            Node node = node(sending("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+            UnreachableServer slow = closeLater(new UnreachableServer());
+            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
             client(node).send(orderRequest("o", "b"));
-            assertEquals("o", next(asked).id());
-            registry.updates.add(news);
+            assertEquals("o", next(handledRequests).id());
+            discovery.updates.add(news);
             assertEquals(Outcome.FULL, next(results).outcome());
         }
     }
 
     /** Settings that forbid to cancel speak of what has been sent; what has not must not be, for nobody. */
     @Test
-    void aRequestWhoseClientLeftBeforeItsConnectionCameUpIsNeverSent() throws Exception {
+    void requestIsNotSentIfItsClientLeavesBeforeTheHostConnects() throws Exception {
         for (String cancel : new String[] {"true", "false"}) {
-            UnreachableServer slow = kept(new UnreachableServer());
+            UnreachableServer slow = closeLater(new UnreachableServer());
             Node node = node(
-                    this::noted,
+                    this::recorded,
                     c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
                     hostEntry("h0", slow.address(), "ready"));
             Client c = client(node).send(orderRequest("o" + cancel, "b"));
-            next(asked);
+            next(handledRequests);
             c.close();
-            assertEquals("o" + cancel, next(left));
+            assertEquals("o" + cancel, next(clientsGone));
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
             client(node).send(orderRequest("p", "b"));
-            next(asked);
+            next(handledRequests);
             try (Socket came = slow.accept()) {
                 assertEquals(
                         "p", TestEndpoints.readMessage(came.getInputStream()).header("X-Trace-Id"));
@@ -179,11 +181,11 @@
 
     /** An attempt left for a client that had gone, since its connection came up in the same turn of a busy loop. */
     @Test
-    void noAttemptLeavesForAClientThatLeftWhileItsConnectionCameUp() throws Exception {
-        UnreachableServer slow = kept(new UnreachableServer());
-        Node node = node(sending("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+    void attemptIsNotSentIfItsClientLeavesWhileTheHostConnects() throws Exception {
+        UnreachableServer slow = closeLater(new UnreachableServer());
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
         Client c = client(node).send(orderRequest("o", "b"));
-        next(asked);
+        next(handledRequests);
         CountDownLatch go = new CountDownLatch(1);
         node.loop.execute(() -> await(go));
         try (Socket came = slow.accept()) {
@@ -196,13 +198,13 @@
 
     /** A request that was sent behind another told its server the time from when its turn came. */
     @Test
-    void theTimeOfARequestThatWaitsItsTurnGoesOn() throws Exception {
+    void pipelinedRequestLosesTheTimeItWaited() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server host = kept(new Server((m, s) -> {
+        Server host = closeLater(new Server((m, s) -> {
             await(go);
             echo(m, s);
         }));
-        Node node = node(sending("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
         clock.frozen = true;
         int ms = TestEndpoints.TIMEOUT_MS;
         Client c = client(node).send(TestEndpoints.viewRequest("first", ms) + TestEndpoints.viewRequest("second", ms));
@@ -216,10 +218,10 @@
 
     /** A server was told the time that its client had waited for a loop that was held up. */
     @Test
-    void theTimeOfARequestGoesOnWhileTheLoopIsHeldUp() throws Exception {
+    void requestLosesTheTimeItWaitedForABusyEventLoop() throws Exception {
         int heldMs = 400;
         CountDownLatch held = new CountDownLatch(1);
-        Server host = kept(new Server(CrossingTest::echo));
+        Server host = closeLater(new Server(RaceConditionTest::echo));
         Node node = node(
                 act -> new ScriptedModule((now, r) -> {
                     if (r.id().equals("first")) {
@@ -242,25 +244,25 @@
 
     /** It holds its place in the queue no longer, and none at a host. */
     @Test
-    void aRequestWhoseClientLeftWhileItWasHeldIsNeverSent() throws Exception {
+    void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server host = kept(new Server((m, s) -> {
+        Server host = closeLater(new Server((m, s) -> {
             go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         List<Client> clients = new ArrayList<>();
-        for (int i = 0; i < HELD_FROM; i++) {
+        for (int i = 0; i < MAX_REQUESTS_PER_HOST; i++) {
             clients.add(client(node).send(orderRequest("o" + i, "b")));
-            next(asked);
+            next(handledRequests);
         }
         Client gone = client(node).send(orderRequest("gone", "b"));
-        next(asked);
+        next(handledRequests);
         gone.close();
-        assertEquals("gone", next(left));
+        assertEquals("gone", next(clientsGone));
         go.countDown();
-        clients.add(client(node).send(orderRequest("o" + HELD_FROM, "b"))); // behind the one that left
-        for (int i = 0; i <= HELD_FROM; i++) {
+        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b"))); // behind the one that left
+        for (int i = 0; i <= MAX_REQUESTS_PER_HOST; i++) {
             assertEquals("for o" + i, clients.get(i).receive().text());
         }
         assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
@@ -268,9 +270,9 @@
 
     /** A connection that never came up proves that nothing has run, also where the client's time ends it. */
     @Test
-    void whatTheClientsTimeEndsBeforeItsConnectionCameUpIsRefused() throws Exception {
-        UnreachableServer slow = kept(new UnreachableServer());
-        Node node = node(this::noted, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
+    void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
+        UnreachableServer slow = closeLater(new UnreachableServer());
+        Node node = node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
         String soon =
                 orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
         assertEquals(429, client(node).send(soon).receive().status());
@@ -279,10 +281,10 @@
 
     /** The copy comes once the next request has been written, on whichever connection that took. */
     @Test
-    void aSecondAnswerThatComesLateReachesNoOtherRequest() throws Exception {
+    void lateDuplicateResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
         AtomicReference<Socket> first = new AtomicReference<>();
-        Server host = kept(new Server((m, s) -> {
+        Server host = closeLater(new Server((m, s) -> {
             if (first.compareAndSet(null, s)) {
                 echo(m, s);
                 return;
@@ -290,7 +292,7 @@
             first.get().getOutputStream().write(okResponse("for one"));
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         clock.offsetMs = 25; // so much later than the first one a copy has been seen
@@ -298,14 +300,14 @@
     }
 
     @Test
-    void aConnectionThatHasRestedIsUsedAgain() throws Exception {
+    void connectionIsReusedAfterItsRestTime() throws Exception {
         clock.frozen = true;
         Set<Socket> used = ConcurrentHashMap.newKeySet();
-        Server host = kept(new Server((m, s) -> {
+        Server host = closeLater(new Server((m, s) -> {
             used.add(s);
             echo(m, s);
         }));
-        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < 3; i++) {
             assertEquals(
@@ -317,7 +319,7 @@
 
     /** What has come of a second answer is taken in at once; its rest comes once the next request has been written. */
     @Test
-    void anAnswerThatHasOnlyBegunReachesNoOtherRequest() throws Exception {
+    void partialSecondResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
         for (String begun : new String[] {
             "HTTP/1.1 200 OK\r\n",
@@ -326,7 +328,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
         }) {
             AtomicReference<Socket> first = new AtomicReference<>();
-            Server host = kept(new Server((m, s) -> {
+            Server host = closeLater(new Server((m, s) -> {
                 if (first.compareAndSet(null, s)) {
                     s.getOutputStream()
                             .write(bytes(new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + begun));
@@ -335,7 +337,7 @@
                 writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
                 echo(m, s);
             }));
-            Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
             clock.offsetMs += 45; // the connection has rested, and would be trusted
@@ -353,10 +355,10 @@
 
     /** A head that stops behind a whole line is as little a request as one that stops inside a line. */
     @Test
-    void aLaterRequestThatStopsBehindALineIsToldSo() throws Exception {
+    void laterRequestThatStopsAfterAWholeLineTimesOut() throws Exception {
         clock.frozen = true;
-        Server host = kept(new Server(CrossingTest::echo));
-        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+        Server host = closeLater(new Server(RaceConditionTest::echo));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         c.send("\r\nGET /view/x HTTP/1.1\r\n");
@@ -372,10 +374,10 @@
 
     /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
     @Test
-    void aStrangersBodyThatStopsIsToldSoFromItsConnectingOn() throws Exception {
+    void firstRequestTimesOutFromTheConnectOn() throws Exception {
         clock.frozen = true;
-        Server host = kept(new Server(CrossingTest::echo));
-        Node node = node(this::noted, c -> c, hostEntry("h0", host.address(), "ready"));
+        Server host = closeLater(new Server(RaceConditionTest::echo));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client stranger = client(node);
         Client other = client(node);
         assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
@@ -387,43 +389,43 @@
     }
 
     /** A module that sends nothing on, and notes whose client has left. */
-    private Function<Actions, Events> holding() {
-        return act -> new ScriptedModule((now, r) -> asked.add(r)) {
+    private Function<Actions, Events> holdingModule() {
+        return act -> new ScriptedModule((now, r) -> handledRequests.add(r)) {
             @Override
             public void clientDisconnected(double now, String id) {
-                left.add(id);
+                clientsGone.add(id);
             }
         };
     }
 
-    private static long held(Node node) throws Exception {
+    private static long memoryUsed(Node node) throws Exception {
         return node.loop.submit(node.room::usedBytes).get();
     }
 
     /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
     @Test
-    void aClientThatLeavesIsSeenBehindAllThatItHasSent() throws Exception {
+    void clientCloseIsNoticedBehindUnprocessedData() throws Exception {
         String large = orderRequest(
                 "long", "b".repeat(IncomingRequest.MAX_KEPT_BODY_BYTES + IncomingRequest.MAX_SMALL_BODY_BYTES));
         String many = orderRequest("many", "b") + orderRequest("behind", "b").repeat(64);
-        Node node = node(holding(), c -> c);
+        Node node = node(holdingModule(), c -> c);
         for (String sent : List.of(large, many)) {
             Client c = client(node).send(sent);
-            String id = next(asked).id();
+            String id = next(handledRequests).id();
             c.close();
-            assertEquals(id, next(left));
-            assertEquals(0, held(node));
+            assertEquals(id, next(clientsGone));
+            assertEquals(0, memoryUsed(node));
         }
-        assertTrue(asked.isEmpty());
+        assertTrue(handledRequests.isEmpty());
     }
 
     /** Memory is bounded, so that whoever sends too much to be read on while its request waits is told no. */
     @Test
-    void whoSendsTooMuchToBeSeenLeavingIsToldNo() throws Exception {
-        Node node = node(holding(), c -> c);
+    void clientThatSendsTooMuchAheadIsRefused() throws Exception {
+        Node node = node(holdingModule(), c -> c);
         Client large = client(node).send(orderRequest("long", "b".repeat(8 << 20)));
-        assertEquals("long", next(asked).id());
-        assertEquals("long", next(left));
+        assertEquals("long", next(handledRequests).id());
+        assertEquals("long", next(clientsGone));
         assertEquals(503, large.receive().status());
         Client flood = client(node);
         Thread sending = new Thread(() -> {
@@ -434,22 +436,22 @@
             }
         });
         sending.start();
-        assertEquals("flood", next(asked).id());
-        assertEquals("flood", next(left));
+        assertEquals("flood", next(handledRequests).id());
+        assertEquals("flood", next(clientsGone));
         sending.join();
-        assertTrue(asked.isEmpty());
-        assertEquals(0, held(node));
+        assertTrue(handledRequests.isEmpty());
+        assertEquals(0, memoryUsed(node));
     }
 
     /** What has come is heard of only after the turn in which the module acts; so late it is a break. */
     @Test
-    void noAttemptBeginsForAClientThatLeftWhileTheLoopWasBusy() throws Exception {
+    void noAttemptStartsIfItsClientLeftWhileTheLoopWasBusy() throws Exception {
         CountDownLatch[] gone = {new CountDownLatch(1), new CountDownLatch(1)};
-        Server host = kept(new Server((m, s) -> s.close()));
+        Server host = closeLater(new Server((m, s) -> s.close()));
         Node node = node(
                 act -> new ScriptedModule(
                         (now, r) -> {
-                            asked.add(r);
+                            handledRequests.add(r);
                             if (r.id().equals("first")) {
                                 await(gone[0]);
                             }
@@ -465,12 +467,12 @@
                 c -> c,
                 hostEntry("h0", host.address(), "ready"));
         Client first = client(node).send(orderRequest("first", "b"));
-        next(asked);
+        next(handledRequests);
         first.close();
         gone[0].countDown();
         assertEquals(Outcome.MOOT, next(results).outcome());
         Client second = client(node).send(orderRequest("second", "b"));
-        next(asked);
+        next(handledRequests);
         assertEquals(Outcome.RESET, next(results).outcome());
         second.close();
         gone[1].countDown();
