--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -60,12 +60,12 @@
 
 /** A node between real sockets: each test is a failure that must not cost a request or break a rule. */
 class NodeTest {
-    private static final Logger LEAKS = Logger.getLogger("io.netty.util.ResourceLeakDetector");
-    private static final List<String> LEAKED = new CopyOnWriteArrayList<>();
-    private static final Handler NOTE = new Handler() {
+    private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
+    private static final List<String> LEAK_REPORTS = new CopyOnWriteArrayList<>();
+    private static final Handler LEAK_RECORDER = new Handler() {
         @Override
         public void publish(LogRecord r) {
-            LEAKED.add(r.getMessage());
+            LEAK_REPORTS.add(r.getMessage());
         }
 
         @Override
@@ -75,15 +75,15 @@
         public void close() {}
     };
 
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-    private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
+    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // below the ports that the system gives out
 
-    private final Deque<Closeable> ends = new ArrayDeque<>();
-    private DiscoveryServer registry;
+    private final Deque<Closeable> closeables = new ArrayDeque<>();
+    private DiscoveryServer discovery;
 
     @BeforeAll
-    static void noteLeaks() {
-        LEAKS.addHandler(NOTE);
+    static void recordLeaks() {
+        LEAK_LOGGER.addHandler(LEAK_RECORDER);
     }
 
     /** A buffer that was not released shows once it has been collected and another is taken. */
@@ -93,51 +93,51 @@
             System.gc();
             PooledByteBufAllocator.DEFAULT.buffer(64).release();
         }
-        LEAKS.removeHandler(NOTE);
-        assertEquals(List.of(), LEAKED);
+        LEAK_LOGGER.removeHandler(LEAK_RECORDER);
+        assertEquals(List.of(), LEAK_REPORTS);
     }
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
+        for (Closeable c : closeables) {
             c.close();
         }
     }
 
-    private <T extends Closeable> T kept(T end) {
-        ends.push(end);
-        return end;
+    private <T extends Closeable> T closeLater(T closeable) {
+        closeables.push(closeable);
+        return closeable;
     }
 
     private Server host(TestEndpoints.RequestHandler answer) throws IOException {
-        return kept(new Server(answer));
+        return closeLater(new Server(answer));
     }
 
     private static void echo(Message m, java.net.Socket s) throws IOException {
         s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
-    private Node nodeWith(String... entries) throws IOException {
-        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+    private Node nodeWithHosts(String... entries) throws IOException {
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0"));
+        closeables.push(node::stop);
         return node;
     }
 
     /** The list of before a restart names hosts that drain by now: nothing may be sent there meanwhile. */
     @Test
-    void noClientIsLetInBeforeThePresentList() throws Exception {
+    void noClientIsAcceptedBeforeTheCurrentHostList() throws Exception {
         CompletableFuture<Node> started = new CompletableFuture<>();
         CompletableFuture<Integer> portWhenAsked = new CompletableFuture<>();
-        Server registry = kept(new Server((m, s) -> {
+        Server discoveryServer = closeLater(new Server((m, s) -> {
             Node node = started.join();
             node.loop.submit(() -> {}).sync(); // what was begun before the call is done
             portWhenAsked.complete(node.port());
             s.getOutputStream().write(okResponse(hostList(1, true)));
         }));
-        String config = TestEndpoints.config(registry.address(), "127.0.0.1:0");
+        String config = TestEndpoints.config(discoveryServer.address(), "127.0.0.1:0");
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         started.complete(node);
         node.start();
         assertEquals(0, portWhenAsked.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -146,8 +146,8 @@
 
     /** A drain closes idle connections; a request that crosses such an end comes again on a new connection at once. */
     @Test
-    void aClientWhoseIdleConnectionADrainClosedIsServedOnANewOne() throws Exception {
-        Node node = nodeBefore(host(NodeTest::echo));
+    void clientReconnectsAfterADrainClosedItsIdleConnection() throws Exception {
+        Node node = nodeWithServers(host(NodeTest::echo));
         Client idle = client(node);
         assertEquals(
                 200,
@@ -155,20 +155,20 @@
         idle.socket.setSoTimeout(1);
         CompletableFuture<Client> anew = new CompletableFuture<>();
         node.loop.execute(node::drain);
-        node.loop.execute(() -> comeAgain(node, idle, anew));
+        node.loop.execute(() -> reconnectOnceClosed(node, idle, anew));
         Client second = anew.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(200, second.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** On the node's own loop, so that nothing else of the node can come between the end and the new request. */
-    private void comeAgain(Node node, Client idle, CompletableFuture<Client> anew) {
+    private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> anew) {
         try {
             if (idle.socket.getInputStream().read() < 0) {
                 anew.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
             }
         } catch (SocketTimeoutException e) { // still open
-            node.loop.schedule(() -> comeAgain(node, idle, anew), 1, TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> reconnectOnceClosed(node, idle, anew), 1, TimeUnit.MILLISECONDS);
         } catch (IOException e) {
             anew.completeExceptionally(e);
         }
@@ -176,13 +176,13 @@
 
     /** A signal that nobody heard would leave a gateway deaf to drains for good. */
     @Test
-    void whereDiscoveryIsGoneTheConfigurationIsReadAgain(@TempDir Path folder) throws Exception {
+    void configurationIsReloadedWhenDiscoveryIsLost(@TempDir Path folder) throws Exception {
         DiscoveryServer old = new DiscoveryServer(hostList(1, true));
-        DiscoveryServer moved = kept(new DiscoveryServer(hostList(2, true)));
+        DiscoveryServer moved = closeLater(new DiscoveryServer(hostList(2, true)));
         Path file = Files.writeString(
                 folder.resolve("config.json"), TestEndpoints.config(old.server.address(), "127.0.0.1:0"));
         Node node = new Node(NodeConfig.read(file.toString()));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         node.configuredBy(file);
         node.start();
         Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
@@ -190,20 +190,20 @@
         assertNotNull(moved.server.nextRequest(), "not asked at the address of the replaced configuration");
     }
 
-    private Node nodeBefore(Server... hosts) throws IOException {
+    private Node nodeWithServers(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = hostEntry("h" + i, hosts[i].address(), "ready");
         }
-        return nodeWith(entries);
+        return nodeWithHosts(entries);
     }
 
     private Client client(Node node) throws IOException {
-        return kept(new Client(node));
+        return closeLater(new Client(node));
     }
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
+    void requestAndResponseArePassedUnchanged() throws Exception {
         byte[] body = new byte[60_000];
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
@@ -212,7 +212,7 @@
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         Message answer = c.send(orderRequest("id-1", "two copies")).receive();
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
@@ -229,9 +229,10 @@
     }
 
     @Test
-    void aHostThatRefusesConnectionsCostsNoRequest() throws Exception {
+    void hostThatRefusesConnectionsCostsNoRequest() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWith(hostEntry("dead", DEAD, "ready"), hostEntry("live", host.address(), "ready"));
+        Node node =
+                nodeWithHosts(hostEntry("dead", REFUSING_ADDRESS, "ready"), hostEntry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
@@ -242,27 +243,30 @@
 
     /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
     @Test
-    void aKeyedRequestWhoseConnectionsBreakFailsAndIsNotRefused() throws Exception {
+    void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
-        int status =
-                client(nodeBefore(host)).send(orderRequest("o", "b")).receive().status();
+        int status = client(nodeWithServers(host))
+                .send(orderRequest("o", "b"))
+                .receive()
+                .status();
         assertEquals(502, status);
         assertEquals(3, host.requests.size());
     }
 
     @Test
-    void aRequestThatNeverRanIsRefusedWithATimeToComeBack() throws Exception {
+    void requestThatNeverRanIsRefusedWithRetryAfter() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer = client(nodeBefore(host)).send(orderRequest("o", "b")).receive();
+        Message answer =
+                client(nodeWithServers(host)).send(orderRequest("o", "b")).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     }
 
     @Test
-    void excessIsRefusedAtOnceWithATimeToComeBack() throws Exception {
+    void requestBeyondQuotaIsRefusedWithRetryAfter() throws Exception {
         Server host = host(NodeTest::echo);
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message answer = c.send(tiny).receive();
@@ -272,7 +276,7 @@
     }
 
     @Test
-    void halfAnAnswerIsNeverServed() throws Exception {
+    void partialResponseIsNeverPassedOn() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Server host = host((m, s) -> {
             if (asked.incrementAndGet() > 1) {
@@ -284,7 +288,7 @@
         });
         assertEquals(
                 "for v ",
-                client(nodeBefore(host))
+                client(nodeWithServers(host))
                         .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
@@ -293,7 +297,7 @@
 
     /** A line that is no header leaves in doubt what the rest of the answer is. */
     @Test
-    void anAnswerWithALineThatIsNoHeaderIsNeverServed() throws Exception {
+    void responseWithAMalformedHeaderIsNeverPassedOn() throws Exception {
         Deque<String> lines = new ArrayDeque<>(List.of("no colon here", "no", "X-Pad : 1"));
         Server host = host((m, s) -> {
             String line = lines.poll();
@@ -303,7 +307,7 @@
                                     ? okResponse("for " + m.header("X-Trace-Id"))
                                     : bytes("HTTP/1.1 200 OK\r\n" + line + "\r\nContent-Length: 4\r\n\r\nfake"));
         });
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         assertEquals(502, c.send(orderRequest("o", "b")).receive().status()); // each of its three attempts may have run
         assertEquals(
                 "for v",
@@ -313,7 +317,7 @@
 
     /** Requests wait for the bound, so that one goes out on the very connection that an answer has just freed. */
     @Test
-    void whatComesBehindAnAnswerReachesNoOtherRequest() throws Exception {
+    void bytesAfterAResponseReachNoOtherRequest() throws Exception {
         AtomicInteger answered = new AtomicInteger();
         Server host = host((m, s) -> {
             String id = m.header("X-Trace-Id");
@@ -328,7 +332,7 @@
             }
             s.getOutputStream().write(all.toByteArray());
         });
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(client(node).send(orderRequest("o" + i, "b")));
@@ -341,7 +345,7 @@
 
     /** The settings only say by when a host closes an idle connection; on many an idle one it does so far earlier. */
     @Test
-    void aConnectionIdleForAsLongAsOneThatWasResetIsNotUsedAgain() throws Exception {
+    void connectionIdleAsLongAsAResetOneIsNotReused() throws Exception {
         List<Long> idleNanos = new CopyOnWriteArrayList<>(); // before each request that was reset
         Map<java.net.Socket, Long> answeredAt = new ConcurrentHashMap<>();
         Server host = host((m, s) -> {
@@ -355,7 +359,7 @@
             answeredAt.put(s, System.nanoTime());
             echo(m, s);
         });
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
@@ -371,9 +375,9 @@
     }
 
     @Test
-    void anAttemptEndsWithItsClient() throws Exception {
+    void attemptIsCancelledWhenItsClientLeaves() throws Exception {
         Server host = host((m, s) -> {});
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         c.close();
@@ -382,7 +386,7 @@
 
     /** What comes after the client's time must reach nobody: not that client, nor the next request. */
     @Test
-    void aLateAnswerReachesNoOtherRequest() throws Exception {
+    void lateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
@@ -390,7 +394,7 @@
             }
             echo(m, s);
         });
-        Client c = client(nodeBefore(host));
+        Client c = client(nodeWithServers(host));
         assertNotEquals(200, c.send(viewRequest("slow", 300)).receive().status());
         timeIsUp.countDown();
         for (int i = 0; i < 5; i++) {
@@ -403,9 +407,9 @@
     }
 
     @Test
-    void badRequestsAreToldSoAndReachNoHost() throws Exception {
+    void badRequestsAreRejectedAndReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         String good = viewRequest("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
@@ -443,9 +447,9 @@
     }
 
     @Test
-    void requestsOfUnclearLengthReachNoHost() throws Exception {
+    void requestsOfAmbiguousLengthReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         String open = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
         for (String length : List.of(
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
@@ -461,9 +465,9 @@
     }
 
     @Test
-    void everyFormOfRequestIsPassedOn() throws Exception {
+    void allRequestFormsAreForwarded() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         String open = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
         Client c = client(node);
         String chunks = open
@@ -504,7 +508,7 @@
     }
 
     @Test
-    void aLongAnswerIsPassedOnWhileItComes() throws Exception {
+    void longResponseIsStreamed() throws Exception {
         byte[] body = pattern(3_000_000);
         int first = 200_000;
         CountDownLatch firstRead = new CountDownLatch(1);
@@ -514,26 +518,26 @@
             firstRead.await();
             s.getOutputStream().write(body, first, body.length - first);
         });
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         Client c = client(node).send(viewRequest("v", 5000));
         java.io.InputStream in = c.socket.getInputStream();
         ByteArrayOutputStream got = new ByteArrayOutputStream();
         while (got.size() < first) {
             got.write(in.read());
         }
-        assertEquals(1, figure(node, "concurrent"));
+        assertEquals(1, metric(node, "concurrent"));
         firstRead.countDown();
         String head = got.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
         got.write(in.readNBytes(body.length - (got.size() - head.length() - 4)));
         assertArrayEquals(body, java.util.Arrays.copyOfRange(got.toByteArray(), head.length() + 4, got.size()));
-        assertEquals(200, c.send(HEALTH).receive().status()); // the connection goes on
-        assertEquals(1, figure(node, "success_total{type=\"view\"}"));
-        assertEquals(0, figure(node, "concurrent"));
+        assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection goes on
+        assertEquals(1, metric(node, "success_total{type=\"view\"}"));
+        assertEquals(0, metric(node, "concurrent"));
     }
 
     /** An end that was announced is one; a reset, or an end out of the blue, is not. */
     @Test
-    void theAnnouncedEndOfAConnectionEndsAnAnswer() throws Exception {
+    void announcedConnectionCloseEndsAResponse() throws Exception {
         for (int length : List.of(5, 300_000)) {
             String body = "x".repeat(length);
             AtomicInteger asked = new AtomicInteger();
@@ -544,7 +548,7 @@
                 s.setSoLinger(time == 1, 0);
                 s.close();
             });
-            Client c = client(nodeBefore(host))
+            Client c = client(nodeWithServers(host))
                     .send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
             String got =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
@@ -555,29 +559,29 @@
 
     /** Once begun it can't be tried again, and the client must not take what it has for the whole. */
     @Test
-    void aLongAnswerThatBreaksIsSeenToBeCutOff() throws Exception {
+    void brokenLongResponseIsResetForTheClient() throws Exception {
         for (String length : List.of("Content-Length: 1000000", "Transfer-Encoding: chunked")) {
             Server host = host((m, s) -> {
                 s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + length + "\r\n\r\n20000\r\n"));
                 s.getOutputStream().write(pattern(0x20000));
                 s.close();
             });
-            Node node = nodeBefore(host);
+            Node node = nodeWithServers(host);
             Client c = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
             assertThrows(IOException.class, () -> c.socket.getInputStream().readAllBytes(), length); // a reset
             assertEquals(1, host.requests.size());
-            assertEquals(1, figure(node, "error_total{type=\"view\"}"));
-            assertEquals(0, figure(node, "concurrent"));
+            assertEquals(1, metric(node, "error_total{type=\"view\"}"));
+            assertEquals(0, metric(node, "concurrent"));
         }
     }
 
     /** A body beyond what is kept goes to one attempt while it comes, and is not sent again. */
     @Test
-    void aLongBodyIsPassedOnWhileItComesAndOnlyOnce() throws Exception {
+    void longBodyIsStreamedAndSentOnlyOnce() throws Exception {
         byte[] body = pattern(4_000_000);
         List<byte[]> received = new CopyOnWriteArrayList<>();
         CountDownLatch begun = new CountDownLatch(1);
-        java.net.ServerSocket listener = kept(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
+        java.net.ServerSocket listener = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
         Thread raw = new Thread(() -> {
             try {
                 while (true) {
@@ -595,7 +599,7 @@
         });
         raw.setDaemon(true);
         raw.start();
-        Node node = nodeWith(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
+        Node node = nodeWithHosts(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
         String head = orderRequest("o", "").replace("Length: 0", "Length: " + body.length);
         Client c = client(node).send(head);
         c.socket.getOutputStream().write(body, 0, 1_000_000);
@@ -608,8 +612,8 @@
 
     /** A peer that says nothing, or never the end of it, is owed a word; one that has asked may stay silent. */
     @Test
-    void aPeerThatSendsNoWholeRequestIsToldSo() throws Exception {
-        Node node = nodeBefore(host(NodeTest::echo));
+    void clientWithoutACompleteRequestTimesOut() throws Exception {
+        Node node = nodeWithServers(host(NodeTest::echo));
         Client known = client(node);
         assertEquals(
                 200,
@@ -625,34 +629,34 @@
     }
 
     @Test
-    void aConnectionInsideARequestIsNotTheOneThatGivesWay() throws Exception {
+    void connectionWithAPartialRequestIsNotShed() throws Exception {
         Server host = host(NodeTest::echo);
-        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         String request = viewRequest("v", TestEndpoints.TIMEOUT_MS);
         Client inside = client(node).send(request.substring(0, 30));
         List<Client> idle = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             idle.add(client(node));
-            assertEquals(200, idle.get(i).send(HEALTH).receive().status());
+            assertEquals(200, idle.get(i).send(HEALTH_REQUEST).receive().status());
         }
         assertNull(idle.get(0).receive()); // the longest idle, though not the oldest
         assertEquals("for v ", inside.send(request.substring(30)).receive().text());
     }
 
     @Test
-    void clientsHoldNoMoreThanAThirdOfTheDescriptors() throws Exception {
+    void clientsHoldAtMostAThirdOfTheDescriptors() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
         Server host = host((m, s) -> {
             crowded.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         List<Client> held = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             held.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
@@ -667,8 +671,8 @@
 
     /** Clients' new connections were shut unread once both processes of a gateway held the clients' share together. */
     @Test
-    void aNewConnectionIsAnsweredWhileAnotherProcessHoldsTheClientsShare(@TempDir Path folder) throws Exception {
-        Node node = nodeBefore(host(NodeTest::echo));
+    void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
+        Node node = nodeWithServers(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
         SiblingFiles.Note crowded = new SiblingFiles.Note(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
         new SiblingFiles(folder, 1).write(crowded);
@@ -682,8 +686,8 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        Client c = client(nodeBefore(host(NodeTest::echo)));
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        Client c = client(nodeWithServers(host(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(viewRequest("p" + i, TestEndpoints.TIMEOUT_MS));
@@ -696,14 +700,14 @@
 
     /** The module knows requests by id; a client that sends one again must not take the first one's place. */
     @Test
-    void oneIdOpenTwiceGetsTwoAnswers() throws Exception {
+    void twoOpenRequestsWithOneIdGetTwoResponses() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
         Server host = host((m, s) -> {
             both.countDown();
             both.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         Client a = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         Client b = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         assertEquals("for same ", a.receive().text());
@@ -711,19 +715,19 @@
     }
 
     @Test
-    void aDrainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
+    void drainingHostGetsNoNewRequestsAndAMovedHostIsFollowed() throws Exception {
         Server old = host(NodeTest::echo);
         Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
+        Node node = nodeWithServers(old);
         Client c = client(node);
         assertEquals(
                 200,
                 c.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
-        awaitWatches(1);
-        registry.updates.add(
-                hostList(2, false, hostEntry("h0", old.address(), "draining"), hostEntry("h1", DEAD, "ready")));
-        registry.updates.add(hostList(3, false, hostEntry("h1", fresh.address(), "ready")));
-        awaitWatches(3);
+        awaitDiscoveryWatches(1);
+        discovery.updates.add(hostList(
+                2, false, hostEntry("h0", old.address(), "draining"), hostEntry("h1", REFUSING_ADDRESS, "ready")));
+        discovery.updates.add(hostList(3, false, hostEntry("h1", fresh.address(), "ready")));
+        awaitDiscoveryWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     200,
@@ -736,13 +740,13 @@
     }
 
     @Test
-    void aFullListDropsTheHostsThatItDoesNotName() throws Exception {
+    void fullListRemovesTheHostsThatItDoesNotName() throws Exception {
         Server old = host(NodeTest::echo);
         Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
-        awaitWatches(1);
-        registry.updates.add(hostList(9, true, hostEntry("h1", fresh.address(), "ready")));
-        awaitWatches(2);
+        Node node = nodeWithServers(old);
+        awaitDiscoveryWatches(1);
+        discovery.updates.add(hostList(9, true, hostEntry("h1", fresh.address(), "ready")));
+        awaitDiscoveryWatches(2);
         assertEquals(
                 200,
                 client(node)
@@ -754,25 +758,25 @@
 
     /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
     @Test
-    void aBrokenWatchGoesOnFromItsVersion() throws Exception {
+    void brokenWatchResumesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Server broken = kept(new Server((m, s) -> {
+        Server broken = closeLater(new Server((m, s) -> {
             if (!m.start().contains("from=")) {
                 s.getOutputStream().write(okResponse(hostList(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
             }
         }));
-        ends.push(TestEndpoints.node(TestEndpoints.config(broken.address(), "127.0.0.1:0"))::stop);
+        closeables.push(TestEndpoints.node(TestEndpoints.config(broken.address(), "127.0.0.1:0"))::stop);
         for (int i = 0; i < 5; i++) {
             String call = broken.nextRequest().start();
             assertEquals(i > 0, call.contains("from=7&"), call);
         }
     }
 
-    private void awaitWatches(int count) throws InterruptedException {
+    private void awaitDiscoveryWatches(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
-        while (registry.server.requests.stream()
+        while (discovery.server.requests.stream()
                         .filter(m -> m.start().contains("from="))
                         .count()
                 < count) {
@@ -788,16 +792,16 @@
     }
 
     @Test
-    void peersAreAskedInShortDatagramsAndStrangersPassedOver() throws Exception {
+    void peersGetShortDatagramsAndUnknownSendersAreIgnored() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
             Server host = host(NodeTest::echo);
-            registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+            discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
             Node node = TestEndpoints.node(
-                    TestEndpoints.config(registry.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
-            ends.push(node::stop);
+                    TestEndpoints.config(discovery.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            closeables.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (DatagramSocket from : List.of(stranger, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
@@ -819,13 +823,13 @@
     }
 
     @Test
-    void whatIsOpenAtADrainIsAnsweredAndItsConnectionClosed() throws Exception {
+    void openRequestsAreAnsweredInADrainAndTheirConnectionsClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
         Server host = host((m, s) -> {
             draining.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         Client busy = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client idle = client(node);
         assertNotNull(host.nextRequest());
@@ -844,9 +848,9 @@
 
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
-    void quiesceSaysNoAndEmptiesAndResumeTakesItBackAtAnyTime() throws Exception {
+    void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         OperatorServer.Commands operations = node.operations();
         assertNull(operations.notReadyReason());
         Client kept = client(node);
@@ -854,11 +858,11 @@
                 200,
                 kept.send(viewRequest("k", TestEndpoints.TIMEOUT_MS)).receive().status());
         Client idle = client(node);
-        assertEquals(200, idle.send(HEALTH).receive().status());
+        assertEquals(200, idle.send(HEALTH_REQUEST).receive().status());
         operations.quiesce();
         operations.quiesce(); // once more changes nothing
         assertEquals("draining", operations.notReadyReason());
-        assertEquals(503, client(node).send(HEALTH).receive().status());
+        assertEquals(503, client(node).send(HEALTH_REQUEST).receive().status());
         Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals(200, late.status());
         assertEquals("close", late.header("Connection"));
@@ -873,16 +877,16 @@
         operations.resume();
         operations.resume();
         Client back = client(node);
-        assertEquals(200, back.send(HEALTH).receive().status());
-        assertNull(back.send(HEALTH).receive().header("Connection"));
+        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
+        assertNull(back.send(HEALTH_REQUEST).receive().header("Connection"));
         operations.quiesce();
         operations.resume(); // before the first sweep
         assertNull(operations.notReadyReason());
-        assertEquals(200, back.send(HEALTH).receive().status());
+        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
-    void theFiguresTellHowEachClassEndedAndStartAtNought() throws Exception {
+    void metricsCountResultsByClassFromZero() throws Exception {
         Server host = host((m, s) -> {
             if (m.start().contains("broken")) {
                 s.close();
@@ -890,8 +894,9 @@
                 echo(m, s);
             }
         });
-        Node node = nodeWith(hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
-        assertEquals(0, figure(node, "success_total{type=\"order\"}"));
+        Node node =
+                nodeWithHosts(hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
+        assertEquals(0, metric(node, "success_total{type=\"order\"}"));
         Client c = client(node);
         assertEquals(
                 200,
@@ -905,20 +910,20 @@
         String tiny = viewRequest("d", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         assertEquals(429, c.send(tiny).receive().status());
-        assertEquals(2, figure(node, "success_total{type=\"view\"}"));
-        assertEquals(1, figure(node, "success_total{type=\"order\"}"));
-        assertEquals(1, figure(node, "overload_total{type=\"view\"}"));
-        assertEquals(1, figure(node, "error_total{type=\"order\"}"));
-        assertEquals(0, figure(node, "error_total{type=\"view\"}"));
-        assertEquals(host.requests.size(), figure(node, "dispatches_total"));
-        assertEquals(0, figure(node, "concurrent"));
-        while (figure(node, "targets") != 2) { // told on a beat
+        assertEquals(2, metric(node, "success_total{type=\"view\"}"));
+        assertEquals(1, metric(node, "success_total{type=\"order\"}"));
+        assertEquals(1, metric(node, "overload_total{type=\"view\"}"));
+        assertEquals(1, metric(node, "error_total{type=\"order\"}"));
+        assertEquals(0, metric(node, "error_total{type=\"view\"}"));
+        assertEquals(host.requests.size(), metric(node, "dispatches_total"));
+        assertEquals(0, metric(node, "concurrent"));
+        while (metric(node, "targets") != 2) { // told on a beat
             Thread.onSpinWait();
         }
-        assertEquals(1, figure(node, "targets_disabled"));
+        assertEquals(1, metric(node, "targets_disabled"));
     }
 
-    private static long figure(Node node, String name) {
+    private static long metric(Node node, String name) {
         for (String line : node.operations().metrics().split("\n")) {
             if (line.startsWith("edge_node_" + name + " ")) {
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
@@ -928,9 +933,9 @@
     }
 
     @Test
-    void aDrainEndsWhatAHostNeverAnswers() throws Exception {
+    void drainEndsRequestsThatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
-        Node node = nodeBefore(host);
+        Node node = nodeWithServers(host);
         Client c = client(node).send(orderRequest("o", "b"));
         assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
@@ -938,16 +943,16 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    private Node scripted(Function<Actions, Events> module, String... entries) throws IOException {
-        registry = kept(new DiscoveryServer(hostList(1, true, entries)));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"), module);
-        ends.push(node::stop);
+    private Node nodeWithModule(Function<Actions, Events> module, String... entries) throws IOException {
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0"), module);
+        closeables.push(node::stop);
         return node;
     }
 
     /** The meter's word is the module's only one on the other gateways' use; 0 means that there was none. */
     @Test
-    void theModuleIsToldTheUseThatAnAnswerTells() throws Exception {
+    void quotaUseOfAResponseReachesTheModule() throws Exception {
         Deque<String> told = new ArrayDeque<>(List.of(
                 "",
                 "X-Quota-Used: 0\r\n",
@@ -958,10 +963,10 @@
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + told.poll() + "Content-Length: 0\r\n\r\n")));
         List<Integer> heard = new CopyOnWriteArrayList<>();
-        Node node = scripted(
+        Node node = nodeWithModule(
                 act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
                 hostEntry("h0", host.address(), "ready"));
-        awaitWatches(1);
+        awaitDiscoveryWatches(1);
         Client c = client(node);
         for (int i = 0; i < 6; i++) {
             assertEquals(
@@ -975,16 +980,16 @@
     }
 
     /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
-    private record Count(String name, Outcome outcome, double total) {}
+    private record CounterResult(String name, Outcome outcome, double total) {}
 
     /** Answers come in the order of the calls; one without a number ends the connection, and calls go on on another. */
     @Test
-    void theCounterIsCalledAndItsAnswersReachTheModule() throws Exception {
-        java.net.ServerSocket counter = kept(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
-        java.util.concurrent.BlockingQueue<Count> heard = new java.util.concurrent.LinkedBlockingQueue<>();
+    void counterRepliesReachTheModule() throws Exception {
+        java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
+        java.util.concurrent.BlockingQueue<CounterResult> heard = new java.util.concurrent.LinkedBlockingQueue<>();
         Actions[] acts = new Actions[1];
-        registry = kept(new DiscoveryServer(hostList(1, true)));
-        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        discovery = closeLater(new DiscoveryServer(hostList(1, true)));
+        String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"name\"", "\"counter\": \"127.0.0.1:" + counter.getLocalPort() + "\", \"name\"")
                 .replace("\"max_units\"", "\"counter\": true, \"counter_timeout_ms\": 60000, \"max_units\"");
         Node node = TestEndpoints.node(config, actions -> {
@@ -992,14 +997,14 @@
             return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
-                    heard.add(new Count(name, outcome, total));
+                    heard.add(new CounterResult(name, outcome, total));
                 }
             };
         });
-        ends.push(node::stop);
+        closeables.push(node::stop);
         for (String none : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
-            java.net.Socket s = kept(counter.accept());
-            Count refused;
+            java.net.Socket s = closeLater(counter.accept());
+            CounterResult refused;
             do { // until the node knows that it is connected: a call that can't be written is told so at once
                 node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
                 refused = heard.poll();
@@ -1012,16 +1017,21 @@
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
             node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
             s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + none + "\r\n"));
-            assertEquals(new Count("u1", Outcome.OK, 7.5), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            assertEquals(new Count("u2", Outcome.FULL, 0), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(
-                    new Count("u3", Outcome.RESET, 0), heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    new CounterResult("u1", Outcome.OK, 7.5),
+                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals(
+                    new CounterResult("u2", Outcome.FULL, 0),
+                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals(
+                    new CounterResult("u3", Outcome.RESET, 0),
+                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
     @Test
-    void aConnectionWhoseRequestBreaksTheLoopsTurnEnds() throws Exception {
-        Node node = scripted(act -> new ScriptedModule((now, r) -> {
+    void connectionIsClosedWhenItsRequestThrowsAnError() throws Exception {
+        Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
             throw new AssertionError("made up by the test");
         }));
         assertNull(client(node)
@@ -1031,7 +1041,7 @@
 
     /** Clients and hosts together leave what discovery, the counter, the operator and the process itself need. */
     @Test
-    void descriptorsAreLeftForAllElse() {
+    void descriptorsRemainInReserve() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
             int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.most(sockets);
             assertTrue(left >= HostClient.RESERVE, left + " of " + sockets);
@@ -1040,8 +1050,8 @@
     }
 
     @Test
-    void aModuleThatThrowsStillCostsNoAnswer() throws Exception {
-        Node node = scripted(act -> new ScriptedModule((now, r) -> {
+    void requestIsAnsweredWhenTheModuleThrows() throws Exception {
+        Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
                 throw new IllegalStateException("made up by the test");
             }
@@ -1054,8 +1064,8 @@
 
     /** Only the first final answer goes out; a second one would be taken for the next request's. */
     @Test
-    void aModuleThatAnswersTwiceIsHeardOnce() throws Exception {
-        Node node = scripted(act -> new ScriptedModule((now, r) -> {
+    void onlyTheFirstFinalResponseIsSent() throws Exception {
+        Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
                 act.fail(r.id());
             }
@@ -1074,7 +1084,7 @@
 
     /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
     @Test
-    void idleConnectionsGiveWayBeforeDescriptorsRunOut() throws Exception {
+    void idleConnectionsAreShedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
@@ -1082,10 +1092,10 @@
             }
             echo(m, s);
         });
-        registry = kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         Client held = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         Client first = client(node);
@@ -1104,10 +1114,10 @@
 
     /** One call that failed at the start, here the bind of an address in use, ended the process. */
     @Test
-    void aNodeServesOnceItsAddressComesFree() throws Exception {
-        registry = kept(new DiscoveryServer(hostList(1, true)));
+    void nodeServesOnceItsAddressBecomesFree() throws Exception {
+        discovery = closeLater(new DiscoveryServer(hostList(1, true)));
         ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        String config = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+        String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + taken.getLocalPort() + "\", \"disc");
         CompletableFuture.delayedExecutor(1500, TimeUnit.MILLISECONDS).execute(() -> {
             try {
@@ -1117,12 +1127,12 @@
             }
         });
         Node node = TestEndpoints.node(config);
-        ends.push(node::stop);
-        assertEquals(200, client(node).send(HEALTH).receive().status());
+        closeables.push(node::stop);
+        assertEquals(200, client(node).send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
-    void aBadConfigurationIsOnePlainLine() {
+    void badConfigurationIsReportedInOneLine() {
         for (String bad : List.of(
                 "[]",
                 "{}",
