--- a/src/test/java/deckfall/net/AcceptRetryTest.java
+++ b/src/test/java/deckfall/net/AcceptRetryTest.java
@@ -21,10 +21,10 @@
 
 /** What waits in a listener's queue, while accepting fails and at the listener's end. */
 class AcceptRetryTest {
-    private final AtomicInteger roomMade = new AtomicInteger();
-    private final AcceptRetry retry = new AcceptRetry(roomMade::incrementAndGet);
+    private final AtomicInteger descriptorsFreed = new AtomicInteger();
+    private final AcceptRetry retry = new AcceptRetry(descriptorsFreed::incrementAndGet);
 
-    private EmbeddedChannel failed() {
+    private EmbeddedChannel failedListener() {
         EmbeddedChannel listener = new EmbeddedChannel(retry);
         listener.freezeTime();
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files in system"));
@@ -33,9 +33,9 @@
 
     /** After one failed accept nothing was accepted for a second, and waiting requests ran out of their time. */
     @Test
-    void acceptingGoesOnMillisecondsAfterAFailure() {
-        EmbeddedChannel listener = failed();
-        assertEquals(1, roomMade.get());
+    void acceptingResumesMillisecondsAfterAFailure() {
+        EmbeddedChannel listener = failedListener();
+        assertEquals(1, descriptorsFreed.get());
         assertFalse(listener.config().isAutoRead());
         listener.advanceTimeBy(AcceptRetry.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         listener.runScheduledPendingTasks();
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void aListenerThatWasStoppedStaysSo() {
-        EmbeddedChannel listener = failed();
+    void stoppedListenerStaysStopped() {
+        EmbeddedChannel listener = failedListener();
         retry.stop(listener);
         listener.advanceTimeBy(AcceptRetry.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         listener.runScheduledPendingTasks();
@@ -53,7 +53,7 @@
 
     /** A listener that closed reset the connections that waited in its queue. */
     @Test
-    void allThatWaitAreAcceptedInOneTurn() throws Exception {
+    void allQueuedConnectionsAreAcceptedInOneCall() throws Exception {
         int count = 40; // more than one read accepts
         AtomicInteger accepted = new AtomicInteger();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -29,32 +29,32 @@
 
 /** The end of a process: what SIGKILL would find open is lost, and it comes by the settings' longest deadline. */
 class DrainTest {
-    private static final double KILLED_MS = 700;
-    private final Deque<Closeable> ends = new ArrayDeque<>();
+    private static final double KILL_DELAY_MS = 700;
+    private final Deque<Closeable> closeables = new ArrayDeque<>();
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
+        for (Closeable c : closeables) {
             c.close();
         }
     }
 
-    private <T extends Closeable> T kept(T end) {
-        ends.push(end);
-        return end;
+    private <T extends Closeable> T closeLater(T closeable) {
+        closeables.push(closeable);
+        return closeable;
     }
 
-    private static Settings settings(int longestMs) throws Exception {
+    private static Settings settings(int longestDeadlineMs) throws Exception {
         String config = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")
-                .replace("\"hard_limit_ms\": 60000}]", "\"hard_limit_ms\": " + longestMs + "}]")
+                .replace("\"hard_limit_ms\": 60000}]", "\"hard_limit_ms\": " + longestDeadlineMs + "}]")
                 .replace("\"hard_limit_ms\": 60000", "\"hard_limit_ms\": 100");
         return NodeConfig.of(new ObjectMapper().readTree(config)).settings();
     }
 
     @Test
-    void allIsAnsweredBeforeTheKillWhateverTheDeadlines() throws Exception {
+    void allRequestsAreAnsweredBeforeTheKillForAnyDeadline() throws Exception {
         for (int longest : new int[] {100, 400, 900, 2500, 3000, 15_000}) {
-            double kill = Math.min(3000, longest) + KILLED_MS;
+            double kill = Math.min(3000, longest) + KILL_DELAY_MS;
             long answerBy = Drain.answerDeadlineMs(settings(longest));
             assertTrue(answerBy <= kill - 200, longest + ": " + answerBy);
             assertTrue(answerBy >= kill / 2, longest + ": " + answerBy);
@@ -65,20 +65,20 @@
     }
 
     private Node node(String... entries) throws IOException {
-        DiscoveryServer registry = kept(new DiscoveryServer(hostList(1, true, entries)));
+        DiscoveryServer registry = closeLater(new DiscoveryServer(hostList(1, true, entries)));
         Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+        closeables.push(node::stop);
         return node;
     }
 
     private Client client(Node node) throws IOException {
-        return kept(new Client(node));
+        return closeLater(new Client(node));
     }
 
     /** Held, out at a host that hangs, half read in its head or body, not begun: none of it stays open. */
     @Test
-    void nothingStaysOpenOnceTheTimeIsUp() throws Exception {
-        Server hangs = kept(new Server((m, s) -> {}));
+    void nothingStaysOpenAtTheDrainsEnd() throws Exception {
+        Server hangs = closeLater(new Server((m, s) -> {}));
         Node node = node(hostEntry("h0", hangs.address(), "ready"));
         Client out = client(node).send(orderRequest("out", "b"));
         assertNotNull(hangs.nextRequest());
@@ -100,9 +100,9 @@
 
     /** Requests that had been sent several at once, and read, were dropped with the first answer in a drain. */
     @Test
-    void whatWasReadAheadIsAnsweredInADrain() throws Exception {
+    void pipelinedRequestsAreAnsweredInADrain() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server host = kept(new Server((m, s) -> {
+        Server host = closeLater(new Server((m, s) -> {
             assertTrue(go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             s.getOutputStream().write(TestEndpoints.okResponse(m.header("X-Trace-Id")));
         }));
@@ -121,7 +121,7 @@
 
     /** A request that had come, and that the loop had not read yet, was reset with its idle connection. */
     @Test
-    void whatHasComeByTheDrainsEndIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredAtTheDrainsEnd() throws Exception {
         Node node = node();
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
@@ -139,10 +139,10 @@
 
     /** Answers that the system had not taken yet were lost with their idle connection. */
     @Test
-    void answersThatWaitToBeWrittenOutliveTheDrainsEnd() throws Exception {
+    void unwrittenResponsesSurviveTheDrainsEnd() throws Exception {
         int count = 150; // more than the system's buffers hold for a client that does not read
         String body = "x".repeat(60_000);
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse(body))));
+        Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse(body))));
         Node node = node(hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < count; i++) {
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void whatIsHeldAtTheEndAndWasNeverSentIsRefused() throws Exception {
+    void queuedRequestIsRefusedAtTheDrainsEnd() throws Exception {
         Node node = node();
         Client held = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client known = client(node);
@@ -179,10 +179,10 @@
 
     /** In a drain that has gone on for long, whoever comes newly still has time to ask. */
     @Test
-    void aDrainOfAnyAgeLeavesANewConnectionTimeToAsk() throws Exception {
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
+    void newConnectionHasTimeToSendARequestLateInADrain() throws Exception {
+        Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
         DiscoveryServer registry =
-                kept(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+                closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
         ManualClock clock = new ManualClock();
         clock.frozen = true;
         Node node = new Node(
@@ -190,7 +190,7 @@
                         new ObjectMapper().readTree(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionModule::new,
                 clock);
-        ends.push(node::stop);
+        closeables.push(node::stop);
         node.start();
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
@@ -207,9 +207,9 @@
 
     /** The listener's end is timed next: were the sweep timed in a later turn, a slow loop would close that first. */
     @Test
-    void theFirstSweepIsTimedInTheTurnThatBegins() throws Exception {
+    void firstSweepIsScheduledBeforeBeginReturns() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
-        ends.push(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
+        closeables.push(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
         EventLoop loop = group.next();
         Drain drain = new Drain(loop, new ManualClock(), null);
         assertTrue(loop.submit(() -> {
--- a/src/test/java/deckfall/net/OperatorServerTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -17,10 +17,10 @@
 
 /** What an operator's caller gets, however other callers behave. */
 class OperatorServerTest {
-    private static final int CROWD = 100;
+    private static final int MANY_CONNECTIONS = 100;
 
-    private final List<String> asked = new CopyOnWriteArrayList<>();
-    private volatile String closedBecause;
+    private final List<String> commandsReceived = new CopyOnWriteArrayList<>();
+    private volatile String notReadyReason;
     private OperatorServer operator;
 
     @BeforeEach
@@ -29,7 +29,7 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new OperatorServer.Commands() {
                     @Override
                     public String notReadyReason() {
-                        return closedBecause;
+                        return notReadyReason;
                     }
 
                     @Override
@@ -39,12 +39,12 @@
 
                     @Override
                     public void quiesce() {
-                        asked.add("quiesce");
+                        commandsReceived.add("quiesce");
                     }
 
                     @Override
                     public void resume() {
-                        asked.add("resume");
+                        commandsReceived.add("resume");
                     }
                 });
         operator.start();
@@ -70,30 +70,30 @@
     }
 
     @Test
-    void eachCallGetsItsOneAnswer() throws Exception {
+    void eachCommandGetsOneResponse() throws Exception {
         assertEquals("ACK\n", call("health\n"));
-        closedBecause = "draining";
+        notReadyReason = "draining";
         assertEquals("NAK draining\n", call("health\r\n"));
         assertEquals("a 1\nb 2\n--\n", call("counters\n"));
         assertEquals("ACK\n", call("quiesce\n"));
         assertEquals("ACK\n", call("resume\n"));
-        assertEquals(List.of("quiesce", "resume"), asked);
+        assertEquals(List.of("quiesce", "resume"), commandsReceived);
     }
 
     @Test
-    void whatIsNoCallIsToldWhy() throws Exception {
+    void unknownCommandsAreRejectedWithAReason() throws Exception {
         for (String wrong : List.of("reboot\n", "\n", "HEALTH\n", "x".repeat(5000) + "\n")) {
             String answer = call(wrong);
             assertTrue(answer.matches("NAK \\S.*\\n"), answer);
         }
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), commandsReceived);
     }
 
     @Test
-    void silentCallersHoldNobodyUp() throws Exception {
+    void silentConnectionsDoNotBlockOthers() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < MANY_CONNECTIONS; i++) {
                 Socket s = connect();
                 silent.add(s);
                 s.getOutputStream().write('h');
--- a/src/test/java/deckfall/net/TallyTest.java
+++ b/src/test/java/deckfall/net/TallyTest.java
@@ -10,7 +10,7 @@
 /** The line that a node's log gets for each period. */
 class TallyTest {
     @Test
-    void aPeriodIsOneLineAndTheNextStartsFromNothing() {
+    void eachPeriodIsOneLineAndStartsFromZero() {
         Tally tally = new Tally();
         assertNull(tally.takeLine());
         tally.add(Tally.Count.TAKEN);
