--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -156,7 +156,7 @@
     private void respondAndClose(HttpResponseStatus status) {
         keepAlive = false;
         busy = true;
-        server.idle(this, false);
+        server.setIdle(this, false);
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
             node.clientLeft(unfinished); // its body will not become whole, or nothing shows whether its client waits
@@ -215,7 +215,7 @@
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        server.idle(this, false); // a close would lose what has been read
+        server.setIdle(this, false); // a close would lose what has been read
         channel.resetReadDelay();
         node.loop.execute(this::processRead);
     }
@@ -237,9 +237,9 @@
             partialHeadSinceMs = node.clock.now();
         }
         if (partial) {
-            server.idle(this, false); // a close would lose a request of which a part has been read
+            server.setIdle(this, false); // a close would lose a request of which a part has been read
         } else if (!busy && !closing && queue.isEmpty()) {
-            server.idle(this, true);
+            server.setIdle(this, true);
         }
     }
 
@@ -267,7 +267,7 @@
             addQueuedBytes(-sizeBytes(message));
             try {
                 if (message instanceof HttpRequest head) {
-                    beginResponse(head);
+                    startRequest(head);
                 }
                 if (message instanceof HttpContent content && incoming != null) {
                     handleContent(content);
@@ -317,9 +317,9 @@
         return !channel.isActive();
     }
 
-    private void beginResponse(HttpRequest head) {
+    private void startRequest(HttpRequest head) {
         busy = true;
-        server.idle(this, false);
+        server.setIdle(this, false);
         http10 = head.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
         if (head.decoderResult().isFailure() || !hasUnambiguousLength(head)) {
             keepAlive = false; // where the next request would begin is not known
@@ -556,7 +556,7 @@
             return;
         }
         if (queue.isEmpty()) {
-            server.idle(this, true);
+            server.setIdle(this, true);
         } else { // not at once: an answer may be given while the request is being taken
             node.loop.execute(this::processRead);
         }
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -28,7 +28,7 @@
     private final Node node;
     private final RequestReader requestReader;
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
-    private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
+    private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
     private final AtomicInteger connectionCount = new AtomicInteger();
     private final ConnectionLimits limits;
     private AcceptRetry acceptRetry; // the present listener's
@@ -116,7 +116,7 @@
     /** Closes the connections on which nothing has been asked for so long. */
     void closeIdle(double minIdleMs) {
         double usedBeforeMs = node.clock.now() - minIdleMs;
-        for (ClientConnection c : List.copyOf(idle)) {
+        for (ClientConnection c : List.copyOf(idleConnections)) {
             if (c.lastUsedMs() <= usedBeforeMs && c.safeToClose()) {
                 lastActivityMs = node.clock.now();
                 c.close(CloseReason.DRAINED);
@@ -130,7 +130,7 @@
         List.copyOf(connections).forEach(ClientConnection::closeAtDrainEnd);
     }
 
-    boolean idle() {
+    boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** From any thread: about how many clients' connections are open. */
-    int connections() {
+    int connectionCount() {
         return connectionCount.get();
     }
 
@@ -170,22 +170,22 @@
     void connectionOpened(ClientConnection c) {
         connections.add(c);
         connectionCount.set(connections.size());
-        idle.add(c);
+        idleConnections.add(c);
         lastActivityMs = node.clock.now();
     }
 
     void connectionClosed(ClientConnection c) {
-        idle.remove(c);
+        idleConnections.remove(c);
         connections.remove(c);
         connectionCount.set(connections.size());
     }
 
     /** Whether nothing is asked on it, so that it may be closed. */
-    void idle(ClientConnection c, boolean is) {
-        if (is) {
-            idle.add(c);
+    void setIdle(ClientConnection c, boolean isIdle) {
+        if (isIdle) {
+            idleConnections.add(c);
         } else {
-            idle.remove(c);
+            idleConnections.remove(c);
         }
     }
 
@@ -206,7 +206,7 @@
     /** Closes up to so many idle connections, the longest idle first; not the one that has just come. */
     private void shed(ClientConnection newConnection, int maxClosed) {
         int closed = 0;
-        for (ClientConnection c : List.copyOf(idle)) {
+        for (ClientConnection c : List.copyOf(idleConnections)) {
             if (closed >= maxClosed) {
                 return;
             }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -332,7 +332,7 @@
 
             @Override
             public int clientConnections() {
-                return clients.connections();
+                return clients.connectionCount();
             }
 
             @Override
@@ -844,7 +844,7 @@
     }
 
     private void awaitEmpty() {
-        if (open.isEmpty() && clients.idle()) {
+        if (open.isEmpty() && clients.hasNoConnections()) {
             drained.countDown();
         } else {
             loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -116,9 +116,9 @@
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
                     Object answer = method.invoke(brain, args);
                     switch (method.getName()) {
-                        case "request" -> handledRequests.add((Request) args[1]);
+                        case "requestReceived" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
-                        case "clientLeft" -> clientsGone.add((String) args[1]);
+                        case "clientDisconnected" -> clientsGone.add((String) args[1]);
                         default -> {}
                     }
                     return answer;
