--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -17,49 +17,50 @@
 
 /** Accepts clients, reads their requests, and writes the one answer to each. */
 final class ClientServer {
-    static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
-    private static final int LEAST_READ = 256;
-    private static final int FIRST_READ = 2048;
-    private static final int MOST_READ = 16 * 1024; // many are under way at once
-    private static final int BACKLOG = 512;
-    private static final double FRESH_MS = 10; // in which a connection's first request may be on its way
-    private static final long WATCH_MS = 100;
+    static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+    private static final int MIN_READ_BUFFER_BYTES = 256;
+    private static final int INITIAL_READ_BUFFER_BYTES = 2048;
+    private static final int MAX_READ_BUFFER_BYTES = 16 * 1024; // many are under way at once
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final double FIRST_REQUEST_GRACE_MS = 10; // in which a connection's first request may be on its way
+    private static final long CHECK_INTERVAL_MS = 100;
 
     private final Node node;
-    private final RequestReader requests;
+    private final RequestReader requestReader;
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
-    private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
-    private final AtomicInteger open = new AtomicInteger();
-    private final ClientLimits limits;
+    private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
+    private final AtomicInteger connectionCount = new AtomicInteger();
+    private final ConnectionLimits limits;
     private AcceptRetry acceptRetry; // the present listener's
     private RetryingServerSocketChannel listener;
-    private double stirredAt;
+    private double lastActivityMs;
     private boolean sharesListener;
-    private boolean watching;
+    private boolean checksScheduled;
 
     ClientServer(Node node) {
         this.node = node;
-        requests = new RequestReader(node.config.settings());
-        limits = new ClientLimits(node.config.sockets());
+        requestReader = new RequestReader(node.config.settings());
+        limits = new ConnectionLimits(node.config.sockets());
     }
 
     /** Buffers that grow with what comes, from little. */
-    static RecvByteBufAllocator readBuffers() {
-        return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MOST_READ);
+    static RecvByteBufAllocator readBufferAllocator() {
+        return new AdaptiveRecvByteBufAllocator(
+                MIN_READ_BUFFER_BYTES, INITIAL_READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES);
     }
 
     /** Clients are served once this has succeeded: at the inherited listener, else at the configured address. */
     ChannelFuture start(ServerSocketChannel inherited) {
         sharesListener = inherited != null;
-        acceptRetry = new AcceptRetry(this::shedIfCrowded);
+        acceptRetry = new AcceptRetry(this::shedIfAboveKeepAliveLimit);
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(node.group)
                 .channelFactory(() ->
                         sharesListener ? new RetryingServerSocketChannel(inherited) : new RetryingServerSocketChannel())
                 .handler(acceptRetry)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readBuffers())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readBufferAllocator())
                 .childHandler(new ChannelInitializer<RetryingSocketChannel>() {
                     @Override
                     protected void initChannel(RetryingSocketChannel ch) {
@@ -71,20 +72,21 @@
                                         new ClientConnection(ClientServer.this, node, ch, decoder));
                     }
                 });
-        ChannelFuture opened = sharesListener
+        ChannelFuture bindFuture = sharesListener
                 ? bootstrap.register()
                 : bootstrap
-                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .bind(node.config.listen());
-        if (opened.channel() instanceof RetryingServerSocketChannel channel) {
+        if (bindFuture.channel() instanceof RetryingServerSocketChannel channel) {
             listener = channel;
         }
-        if (!watching) {
-            watching = true;
-            node.loop.scheduleAtFixedRate(this::watch, WATCH_MS, WATCH_MS, TimeUnit.MILLISECONDS);
+        if (!checksScheduled) {
+            checksScheduled = true;
+            node.loop.scheduleAtFixedRate(
+                    this::checkConnections, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
-        return opened;
+        return bindFuture;
     }
 
     /** Whether another process may serve clients of the same listener. */
@@ -107,16 +109,16 @@
      * Accepts all that wait: a listener that closes resets them, with what their clients have asked. False where the
      * system let none be accepted just now.
      */
-    boolean acceptWaiting() {
-        return listener.acceptAll();
+    boolean acceptQueued() {
+        return listener.acceptQueued();
     }
 
     /** Closes the connections on which nothing has been asked for so long. */
-    void closeIdle(double quietMs) {
-        double before = node.clock.now() - quietMs;
-        for (ClientConnection c : List.copyOf(idle)) {
-            if (c.usedAt() <= before && c.quiet()) {
-                stirredAt = node.clock.now();
+    void closeIdle(double minIdleMs) {
+        double usedBeforeMs = node.clock.now() - minIdleMs;
+        for (ClientConnection c : List.copyOf(idleConnections)) {
+            if (c.lastUsedMs() <= usedBeforeMs && c.safeToClose()) {
+                lastActivityMs = node.clock.now();
                 c.close(CloseReason.DRAINED);
             }
         }
@@ -125,21 +127,21 @@
     /** Leaves open only what an answer is on its way on: whoever has sent a part of a request is told no. */
     void closeAll() {
         stopAccepting();
-        List.copyOf(connections).forEach(ClientConnection::closeUnanswered);
+        List.copyOf(connections).forEach(ClientConnection::closeAtDrainEnd);
     }
 
-    boolean idle() {
+    boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
     /** When a connection last came, or was closed while idle. */
-    double stirredAt() {
-        return stirredAt;
+    double lastActivityMs() {
+        return lastActivityMs;
     }
 
     /** From any thread: about how many clients' connections are open. */
-    int connections() {
-        return open.get();
+    int connectionCount() {
+        return connectionCount.get();
     }
 
     Channel listener() {
@@ -147,69 +149,72 @@
     }
 
     /** What all processes of this gateway hold of the descriptors that clients share. */
-    int held() {
+    int descriptorsHeld() {
         return node.heldByAll(connections.size(), SiblingWatch.Siblings::clients);
     }
 
     /** Whether clients hold more than their share: connections end with their next answer. */
-    boolean crowded() {
-        return held() > limits.usual();
+    boolean aboveKeepAliveLimit() {
+        return descriptorsHeld() > limits.maxKeepAlive();
     }
 
-    private int mostHeld() {
-        return limits.most(node.hostsHeld());
+    private int maxClientDescriptors() {
+        return limits.maxClients(node.hostsHeld());
     }
 
     /** What a client's message is read with. */
-    RequestReader requests() {
-        return requests;
+    RequestReader requestReader() {
+        return requestReader;
     }
 
-    void opened(ClientConnection c) {
+    void connectionOpened(ClientConnection c) {
         connections.add(c);
-        open.set(connections.size());
-        idle.add(c);
-        stirredAt = node.clock.now();
+        connectionCount.set(connections.size());
+        idleConnections.add(c);
+        lastActivityMs = node.clock.now();
     }
 
-    void ended(ClientConnection c) {
-        idle.remove(c);
+    void connectionClosed(ClientConnection c) {
+        idleConnections.remove(c);
         connections.remove(c);
-        open.set(connections.size());
+        connectionCount.set(connections.size());
     }
 
     /** Whether nothing is asked on it, so that it may be closed. */
-    void idle(ClientConnection c, boolean is) {
-        if (is) {
-            idle.add(c);
+    void setIdle(ClientConnection c, boolean isIdle) {
+        if (isIdle) {
+            idleConnections.add(c);
         } else {
-            idle.remove(c);
+            idleConnections.remove(c);
         }
     }
 
     /** Makes room for a new connection; false where no descriptor is left for it. */
-    boolean admits(ClientConnection newcomer) {
-        if (crowded()) {
-            shed(newcomer, Math.max(1, held() - mostHeld()));
+    boolean makeRoomFor(ClientConnection newConnection) {
+        if (aboveKeepAliveLimit()) {
+            shed(newConnection, Math.max(1, descriptorsHeld() - maxClientDescriptors()));
         }
-        return held() <= mostHeld();
+        return descriptorsHeld() <= maxClientDescriptors();
     }
 
-    private void shedIfCrowded() {
-        if (crowded()) {
+    private void shedIfAboveKeepAliveLimit() {
+        if (aboveKeepAliveLimit()) {
             shed(null, 1);
         }
     }
 
     /** Closes up to so many idle connections, the longest idle first; not the one that has just come. */
-    private void shed(ClientConnection newcomer, int most) {
+    private void shed(ClientConnection newConnection, int maxClosed) {
         int closed = 0;
-        for (ClientConnection c : List.copyOf(idle)) {
-            if (closed >= most) {
+        for (ClientConnection c : List.copyOf(idleConnections)) {
+            if (closed >= maxClosed) {
                 return;
             }
-            boolean fresh = !c.known() && node.clock.now() - c.usedAt() < FRESH_MS;
-            if (c != newcomer && (!fresh || held() > mostHeld()) && c.quiet()) {
+            boolean mayAwaitFirstRequest =
+                    !c.hasSentRequest() && node.clock.now() - c.lastUsedMs() < FIRST_REQUEST_GRACE_MS;
+            if (c != newConnection
+                    && (!mayAwaitFirstRequest || descriptorsHeld() > maxClientDescriptors())
+                    && c.safeToClose()) {
                 c.close(CloseReason.SHED);
                 closed++;
             }
@@ -217,13 +222,13 @@
     }
 
     /** Looks after peers that are too slow, whatever they do: one beat for all connections. */
-    private void watch() {
+    private void checkConnections() {
         double now = node.clock.now();
         for (ClientConnection c : List.copyOf(connections)) {
-            c.expelIfLate(now);
+            c.closeIfTooSlow(now);
         }
-        if (crowded()) {
-            shed(null, held() - limits.usual());
+        if (aboveKeepAliveLimit()) {
+            shed(null, descriptorsHeld() - limits.maxKeepAlive());
         }
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -61,13 +61,13 @@
 
     final NodeConfig config;
     final Clock clock;
-    final LoopDelay loopDelay = new LoopDelay();
+    final EventLoopLag loopDelay = new EventLoopLag();
     final NioEventLoopGroup group =
             new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> loopDelay);
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
-    final Room room = new Room(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
-    final Figures figures;
+    final MemoryBudget room = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+    final Metrics figures;
     private final Events module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
@@ -103,7 +103,7 @@
     Node(NodeConfig config, Function<Actions, Events> maker, Clock clock) {
         this.config = config;
         this.clock = clock;
-        this.figures = new Figures(config.settings().classes());
+        this.figures = new Metrics(config.settings().classes());
         this.module = maker.apply(this);
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
@@ -123,7 +123,7 @@
         try {
             NodeConfig config = config(configFile);
             times.ended("configuration");
-            ServerSocketChannel inherited = Inherited.listener();
+            ServerSocketChannel inherited = InheritedListener.fromEnvironment();
             Node node = StartStep.retried("no event loop", () -> new Node(config));
             node.configuredBy(Path.of(configFile));
             if (config.operator() != null) { // it says no until clients are taken
@@ -157,8 +157,8 @@
         }
     }
 
-    private static Operator operator(NodeConfig config, Node node) throws IOException {
-        Operator operator = new Operator(config.operator(), node.operations());
+    private static OperatorServer operator(NodeConfig config, Node node) throws IOException {
+        OperatorServer operator = new OperatorServer(config.operator(), node.operations());
         operator.start();
         return operator;
     }
@@ -287,7 +287,7 @@
     }
 
     private void logTally() {
-        String line = tally.take();
+        String line = tally.takeLine();
         if (line != null && !rehearsing) {
             log(line);
         }
@@ -306,7 +306,7 @@
             return;
         }
         telling = true;
-        loopDelay.handledMs(); // a timer's turn has no I/O
+        loopDelay.observeDelayMs(); // a timer's turn has no I/O
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
                 try {
@@ -332,7 +332,7 @@
 
             @Override
             public int clientConnections() {
-                return clients.connections();
+                return clients.connectionCount();
             }
 
             @Override
@@ -380,7 +380,7 @@
 
     /** Connections from clients that all processes of this gateway hold. */
     int clientsHeld() {
-        return clients.held();
+        return clients.descriptorsHeld();
     }
 
     /** The same of connections to hosts. */
@@ -410,12 +410,12 @@
     }
 
     boolean draining() {
-        return drain.on();
+        return drain.active();
     }
 
     /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
     void connectionEnded(CloseReason why, int unanswered) {
-        tally.closed(why);
+        tally.addClose(why);
         if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
             tally.add(Tally.Count.CLOSED_UNANSWERED);
             log("defect: " + unanswered + " requests unanswered on a connection closed as " + why);
@@ -423,15 +423,15 @@
     }
 
     /** What an operator may ask of this node. */
-    Operator.Gateway operations() {
-        return new Operator.Gateway() {
+    OperatorServer.Commands operations() {
+        return new OperatorServer.Commands() {
             @Override
-            public String closedBecause() {
-                return !serving ? "not ready yet" : drain.on() ? "draining" : null;
+            public String notReadyReason() {
+                return !serving ? "not ready yet" : drain.active() ? "draining" : null;
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return figures.text();
             }
 
@@ -462,15 +462,15 @@
 
     /** Whether clients may be let in. */
     boolean ready() {
-        return serving && !drain.on() && !rehearsing;
+        return serving && !drain.active() && !rehearsing;
     }
 
     /**
      * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
-    void taken(Request read, Incoming message, ClientConnection client) {
-        Request r = message.whole() ? read : due(read, read.id(), message.dueBytes() / BODY_BYTES_PER_MS);
+    void taken(Request read, IncomingRequest message, ClientConnection client) {
+        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / BODY_BYTES_PER_MS);
         String id = r.id();
         while (open.containsKey(id)) { // the module knows requests by id, and a client may repeat one
             id = r.id() + '#' + ++repeats;
@@ -478,9 +478,9 @@
         Request told = id.equals(r.id()) ? r : due(r, id, 0);
         OpenRequest entry = new OpenRequest(told, message, r.id(), client);
         open.put(id, entry);
-        figures.opened();
+        figures.requestOpened();
         tally.add(Tally.Count.TAKEN);
-        client.holds(entry);
+        client.setOpenRequest(entry);
         guard(entry);
         tell((now, m) -> m.requestReceived(now, told));
     }
@@ -499,14 +499,14 @@
     }
 
     private void guard(OpenRequest r) {
-        r.guard = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
+        r.deadlineTimer = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come that was taken before. */
     void bodyCame(OpenRequest r, double deadlineMs) {
         r.deadlineMs = deadlineMs;
         if (!r.closed()) {
-            r.guard.cancel(false);
+            r.deadlineTimer.cancel(false);
             guard(r);
         }
     }
@@ -579,8 +579,8 @@
             ClientConnection client = close(r);
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
-                figures.ended(r.request.requestClass(), Figures.End.SUCCESS);
-                client.serve(response);
+                figures.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
+                client.sendResponse(response);
             }
         }
         finished(a, outcome, response);
@@ -588,9 +588,9 @@
 
     /** What the module learns of an attempt; the head of the answer, where there is one, may tell more. */
     private void finished(Attempt a, Outcome outcome, HttpResponse response) {
-        tally.attempt(outcome);
+        tally.addAttempt(outcome);
         OpenRequest r = a.owner;
-        r.out--;
+        r.attemptsInFlight--;
         boolean closed = r.closed();
         double took = clock.now() - a.sentAt;
         double[] report = response == null ? NO_REPORT : hosts.report(response);
@@ -603,7 +603,7 @@
     /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
     private ClientConnection close(OpenRequest r) {
         if (!r.closed()) {
-            figures.closed();
+            figures.requestClosed();
         }
         return r.close();
     }
@@ -612,33 +612,34 @@
      * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
      * where no client waits for it. The request counts as open until the transfer ends.
      */
-    Transfer answerBegun(Attempt a, HttpResponse head, Transfer.Source source) {
+    ResponseTransfer answerBegun(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
         if (a.ended) {
             return null;
         }
         a.ended = true;
         OpenRequest r = a.owner;
         ClientConnection client = r.close();
-        Transfer transfer = client == null ? null : new Transfer(this, r.request.requestClass(), client, source);
+        ResponseTransfer transfer =
+                client == null ? null : new ResponseTransfer(this, r.request.requestClass(), client, source);
         if (transfer != null) {
-            client.begin(head, transfer);
+            client.beginResponse(head, transfer);
         }
         finished(a, Outcome.OK, head);
         return transfer;
     }
 
     /** The end of an answer's transfer; {@code end} is null where its client had left. */
-    void transferred(String requestClass, Figures.End end) {
-        figures.closed();
+    void transferred(String requestClass, Metrics.Result end) {
+        figures.requestClosed();
         if (end != null) {
-            figures.ended(requestClass, end);
-            tally.add(end == Figures.End.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
+            figures.recordResult(requestClass, end);
+            tally.add(end == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
         }
     }
 
     private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.out == 0 && open.remove(r.request.id(), r)) {
-            r.guard.cancel(false);
+        if (r.closed() && r.attemptsInFlight == 0 && open.remove(r.request.id(), r)) {
+            r.deadlineTimer.cancel(false);
             r.message.release();
         }
     }
@@ -656,7 +657,7 @@
     }
 
     void counted(String name, Outcome outcome, double total) {
-        tally.call(outcome);
+        tally.addCounterCall(outcome);
         tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
@@ -675,7 +676,7 @@
         double now = clock.now();
         Attempt a = new Attempt(this, r, host, now);
         r.attempts.add(a);
-        r.out++;
+        r.attemptsInFlight++;
         if (!maySend(a)) {
             return;
         }
@@ -722,7 +723,7 @@
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
         if (open.containsKey(id)) {
-            tally.refusal(why);
+            tally.addRefusal(why);
         }
         answer(open.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
@@ -738,8 +739,8 @@
             boolean refused = status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
-            figures.ended(r.request.requestClass(), refused ? Figures.End.OVERLOAD : Figures.End.ERROR);
-            client.answer(status, retryAfterMs);
+            figures.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
+            client.respond(status, retryAfterMs);
         }
         if (r != null) {
             forgetIfOver(r);
@@ -773,12 +774,12 @@
     // ---- the end
 
     private void drainAndHalt() {
-        log("ending: no new clients, " + figures.open() + " requests open");
+        log("ending: no new clients, " + figures.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
             boolean all = awaitDrained(EXIT_MS);
             loop.submit(this::logTally).await(LAST_WORD_MS);
-            log("ended, " + (all ? "all answered" : figures.open() + " requests still open"));
+            log("ended, " + (all ? "all answered" : figures.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -796,12 +797,12 @@
             return;
         }
         drain.begin();
-        double latest = clock.now() + Drain.acceptByMs(config.settings());
+        double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
                 () -> stopAccepting(latest),
-                Drain.ACCEPT_ON_MS + POLL_MS,
+                Drain.MIN_ACCEPT_MS + POLL_MS,
                 TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
-        loop.schedule(this::answerAll, Drain.answerByMs(config.settings()), TimeUnit.MILLISECONDS);
+        loop.schedule(this::answerAll, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
 
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
@@ -832,8 +833,8 @@
      */
     private void stopAccepting(double latest) {
         boolean leftToOther = clients.sharesListener() && processes > 1;
-        boolean allAccepted = leftToOther || clients.acceptWaiting();
-        boolean stirs = !leftToOther && clock.now() - clients.stirredAt() < Drain.CROSSING_MS;
+        boolean allAccepted = leftToOther || clients.acceptQueued();
+        boolean stirs = !leftToOther && clock.now() - clients.lastActivityMs() < Drain.RECONNECT_MS;
         if ((stirs || !allAccepted) && clock.now() < latest) {
             loop.schedule(() -> stopAccepting(latest), POLL_MS, TimeUnit.MILLISECONDS);
             return;
@@ -843,7 +844,7 @@
     }
 
     private void awaitEmpty() {
-        if (open.isEmpty() && clients.idle()) {
+        if (open.isEmpty() && clients.hasNoConnections()) {
             drained.countDown();
         } else {
             loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
