--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -37,12 +37,12 @@
     }
 
     @Override
-    Incoming upload() {
+    IncomingRequest upload() {
         return owner.message;
     }
 
     @Override
-    Transfer begun(HttpResponse head, Transfer.Source source) {
+    ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
         return node.answerBegun(this, head, source);
     }
 }
--- a/src/main/java/deckfall/net/OpenRequest.java
+++ b/src/main/java/deckfall/net/OpenRequest.java
@@ -8,16 +8,16 @@
 /** A request in the table: its client, until answered or gone, and its attempts. */
 final class OpenRequest {
     final Request request;
-    final Incoming message; // held until the entry leaves the table
+    final IncomingRequest message; // held until the entry leaves the table
     final String traceId;
     final List<Attempt> attempts = new ArrayList<>(2);
     private ClientConnection client;
     private boolean closed;
-    int out; // attempts that have not ended
-    Future<?> guard;
+    int attemptsInFlight; // attempts that have not ended
+    Future<?> deadlineTimer;
     double deadlineMs; // moves on while the body is still coming
 
-    OpenRequest(Request request, Incoming message, String traceId, ClientConnection client) {
+    OpenRequest(Request request, IncomingRequest message, String traceId, ClientConnection client) {
         this.request = request;
         this.deadlineMs = request.deadlineMs();
         this.message = message;
@@ -31,14 +31,14 @@
 
     /** Whether the client that is still owed an answer has closed its connection by now. */
     boolean clientGone() {
-        return client != null && client.gone();
+        return client != null && client.closedByClient();
     }
 
     /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
     ClientConnection close() {
-        ClientConnection owed = client;
+        ClientConnection waitingClient = client;
         closed = true;
         client = null;
-        return owed;
+        return waitingClient;
     }
 }
--- a/src/test/java/deckfall/net/OperatorTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -16,36 +16,37 @@
 import org.junit.jupiter.api.Test;
 
 /** What an operator's caller gets, however other callers behave. */
-class OperatorTest {
-    private static final int CROWD = 100;
+class OperatorServerTest {
+    private static final int MANY_CONNECTIONS = 100;
 
-    private final List<String> asked = new CopyOnWriteArrayList<>();
-    private volatile String closedBecause;
-    private Operator operator;
+    private final List<String> commandsReceived = new CopyOnWriteArrayList<>();
+    private volatile String notReadyReason;
+    private OperatorServer operator;
 
     @BeforeEach
     void start() throws IOException {
-        operator = new Operator(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Operator.Gateway() {
-            @Override
-            public String closedBecause() {
-                return closedBecause;
-            }
+        operator = new OperatorServer(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new OperatorServer.Commands() {
+                    @Override
+                    public String notReadyReason() {
+                        return notReadyReason;
+                    }
 
-            @Override
-            public String figures() {
-                return "a 1\nb 2\n";
-            }
+                    @Override
+                    public String metrics() {
+                        return "a 1\nb 2\n";
+                    }
 
-            @Override
-            public void quiesce() {
-                asked.add("quiesce");
-            }
+                    @Override
+                    public void quiesce() {
+                        commandsReceived.add("quiesce");
+                    }
 
-            @Override
-            public void resume() {
-                asked.add("resume");
-            }
-        });
+                    @Override
+                    public void resume() {
+                        commandsReceived.add("resume");
+                    }
+                });
         operator.start();
     }
 
@@ -56,43 +57,43 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), operator.port());
-        socket.setSoTimeout(Sockets.PATIENCE_MS);
+        socket.setSoTimeout(TestEndpoints.TIMEOUT_MS);
         return socket;
     }
 
     /** The whole answer, to the end of the connection. */
     private String call(String text) throws IOException {
         try (Socket socket = connect()) {
-            socket.getOutputStream().write(Sockets.bytes(text));
+            socket.getOutputStream().write(TestEndpoints.bytes(text));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
     @Test
-    void eachCallGetsItsOneAnswer() throws Exception {
+    void eachCommandGetsOneResponse() throws Exception {
         assertEquals("ACK\n", call("health\n"));
-        closedBecause = "draining";
+        notReadyReason = "draining";
         assertEquals("NAK draining\n", call("health\r\n"));
         assertEquals("a 1\nb 2\n--\n", call("counters\n"));
         assertEquals("ACK\n", call("quiesce\n"));
         assertEquals("ACK\n", call("resume\n"));
-        assertEquals(List.of("quiesce", "resume"), asked);
+        assertEquals(List.of("quiesce", "resume"), commandsReceived);
     }
 
     @Test
-    void whatIsNoCallIsToldWhy() throws Exception {
+    void unknownCommandsAreRejectedWithAReason() throws Exception {
         for (String wrong : List.of("reboot\n", "\n", "HEALTH\n", "x".repeat(5000) + "\n")) {
             String answer = call(wrong);
             assertTrue(answer.matches("NAK \\S.*\\n"), answer);
         }
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), commandsReceived);
     }
 
     @Test
-    void silentCallersHoldNobodyUp() throws Exception {
+    void silentConnectionsDoNotBlockOthers() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < MANY_CONNECTIONS; i++) {
                 Socket s = connect();
                 silent.add(s);
                 s.getOutputStream().write('h');
