--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1427,7 +1427,7 @@
         }
     }
 
-    /** Ends a request that no host has served. A refusal invites a retry, so it is sent only if one is safe (rule 2). */
+    /** Ends a request that no host has served. A refusal invites a retry, and is sent only if that is safe (rule 2). */
     private void finishUnserved(double now, RequestState request) {
         RequestClass spec = request.classState.spec;
         boolean retryIsSafe = request.firstPossibleRun() == null
