--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -23,7 +23,7 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> deckfall.net.Node.main(System.getenv("NODE_CONFIG"));
-            case "rehearse" -> deckfall.net.Rehearsal.run();
+            case "rehearse" -> deckfall.net.WarmUp.run();
             case "wirehost" -> deckfall.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost | scale | soak");
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -175,7 +175,7 @@
             timing.answered();
             behind = !whole && told < version; // versions are counted anew: changes since say nothing
             version = behind ? -1 : told;
-            if (whole && !node.rehearsing()) { // once a start or a move: without this line the old list is still in use
+            if (whole && !node.warmingUp()) { // once a start or a move: without this line the old list is still in use
                 Node.log("discovery: whole list of " + entries.size() + ", version " + version + ", from " + address);
             }
             if (!whole && !entries.isEmpty()) { // when each drain was heard of is asked first when one is not kept
@@ -207,7 +207,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!failing && !node.rehearsing()) { // one line for a spell of failures, however often it is asked
+            if (!failing && !node.warmingUp()) { // one line for a spell of failures, however often it is asked
                 Node.log("discovery: " + cause.getMessage());
             }
             failing = true;
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -80,7 +80,7 @@
     private final CountDownLatch drained = new CountDownLatch(1);
     private boolean telling;
     private volatile boolean serving;
-    private boolean rehearsing;
+    private boolean warmingUp;
     private ConfigReloader reloader; // null where the configuration came from elsewhere
     private SiblingWatch siblings; // set before the start, where another process may serve as this gateway
     private List<CustomerSnapshot> recalled = List.of();
@@ -133,7 +133,7 @@
                 node.watchSiblings(Path.of(System.getenv("TMPDIR")));
             }
             times.ended("operator and siblings");
-            int rehearsed = Rehearsal.warm(config, inherited == null && config.wasInService());
+            int rehearsed = WarmUp.warmUp(config, inherited == null && config.wasInService());
             times.ended("warm-up");
             node.recall();
             started.set(node);
@@ -229,7 +229,7 @@
                     })
                     .sync();
             times.ended("module and known list"); // the counter is called, and not waited for
-            if (!rehearsing) { // a rehearsal's discovery is the node itself
+            if (!warmingUp) { // a rehearsal's discovery is the node itself
                 discovery.awaitList();
             }
             times.ended("discovery");
@@ -288,7 +288,7 @@
 
     private void logTally() {
         String line = tally.takeLine();
-        if (line != null && !rehearsing) {
+        if (line != null && !warmingUp) {
             log(line);
         }
     }
@@ -452,17 +452,17 @@
     }
 
     /** From here on this node is no gateway to clients. */
-    void rehearse() {
-        rehearsing = true;
+    void markAsWarmUp() {
+        warmingUp = true;
     }
 
-    boolean rehearsing() {
-        return rehearsing;
+    boolean warmingUp() {
+        return warmingUp;
     }
 
     /** Whether clients may be let in. */
     boolean ready() {
-        return serving && !drain.active() && !rehearsing;
+        return serving && !drain.active() && !warmingUp;
     }
 
     /**
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -142,7 +142,7 @@
     }
 
     /** The same settings for a node at {@code at} that is its own discovery and only host. */
-    NodeConfig rehearsal(InetSocketAddress at) {
+    NodeConfig forWarmUp(InetSocketAddress at) {
         ObjectNode self = JsonNodeFactory.instance
                 .objectNode()
                 .put("id", "self")
--- a/src/main/java/deckfall/net/Rehearsal.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -22,7 +22,7 @@
  * classes that it loads in an archive, from which a restarted node starts in half the time; a node goes through it
  * once more before it serves, so that its first clients find the code compiled.
  */
-public final class Rehearsal {
+public final class WarmUp {
     private static final int PATIENCE_MS = 10_000;
     private static final int WARM_REQUESTS = 400; // most methods on a request's way are compiled by then
     private static final long WARM_MS = 3000; // and no longer
@@ -44,7 +44,7 @@
             + "Idempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s";
     private static final String BODY = "a body of some length";
 
-    private Rehearsal() {}
+    private WarmUp() {}
 
     /** For the build: returns when all has been gone through. */
     public static void run() throws IOException {
@@ -72,13 +72,13 @@
      * be lost with the rehearsal's end, and where the listener is shared another process may answer. A gateway that
      * is missed meanwhile does not rehearse: each second of it costs more requests than its code runs slowly for.
      */
-    static int warm(NodeConfig config, boolean missed) {
-        return missed ? 0 : warm(config);
+    static int warmUp(NodeConfig config, boolean clientsWaiting) {
+        return clientsWaiting ? 0 : warmUp(config);
     }
 
-    private static int warm(NodeConfig config) {
+    private static int warmUp(NodeConfig config) {
         try {
-            NodeConfig alone = config.rehearsal(freePort(config.listen().getAddress()));
+            NodeConfig alone = config.forWarmUp(freePort(config.listen().getAddress()));
             return play(alone, WARM_MS);
         } catch (IOException | RuntimeException e) {
             Node.log("not warmed up: " + e.getMessage()); // slower at first, but it serves
@@ -96,7 +96,7 @@
     private static int play(NodeConfig config, long longestMs) throws IOException {
         int asked = 0;
         Node node = new Node(config);
-        node.rehearse();
+        node.markAsWarmUp();
         try {
             node.start();
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
--- a/src/test/java/deckfall/net/RehearsalTest.java
+++ b/src/test/java/deckfall/net/WarmUpTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node goes through by itself before it serves. */
-class RehearsalTest {
+class WarmUpTest {
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
     private static NodeConfig config(String text) throws Exception {
@@ -29,7 +29,7 @@
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
             String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                     .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + mine.getLocalPort() + "\", \"disc");
-            assertTrue(Rehearsal.warm(config(text), false) > 0);
+            assertTrue(WarmUp.warmUp(config(text), false) > 0);
             assertEquals(List.of(), host.requests);
             assertEquals(List.of(), registry.server.requests);
         }
@@ -43,7 +43,7 @@
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
             String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
                     .replaceAll("(?s),\\s*\"plans\": \\[.*?\\]", "");
-            assertTrue(Rehearsal.warm(config(text), false) > 0);
+            assertTrue(WarmUp.warmUp(config(text), false) > 0);
             Node node = TestEndpoints.node(text);
             try (Client c = new Client(node)) {
                 String bare =
@@ -59,13 +59,13 @@
     @Test
     void aGatewayThatIsMissedDoesNotRehearse() throws Exception {
         String text = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0");
-        assertEquals(0, Rehearsal.warm(config(text), true));
+        assertEquals(0, WarmUp.warmUp(config(text), true));
     }
 
     @Test
     void aRehearsingNodeLetsNoClientIn() throws Exception {
         Node node = new Node(config(TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")));
-        node.rehearse();
+        node.markAsWarmUp();
         node.start();
         try (Client c = new Client(node)) {
             assertEquals(503, c.send(HEALTH).receive().status());
