--- a/src/main/java/deckfall/net/FailureSpell.java
+++ b/src/main/java/deckfall/net/FailureStreak.java
@@ -6,26 +6,26 @@
  * How long calls of one kind have been failing in a row, in real time. A call that still matters is made again in the
  * loop's next turn; one that is not, as nothing waits for it, says nothing of the time until the next one.
  */
-final class FailureSpell {
+final class FailureStreak {
     private static final double NANOS_PER_MS = 1e6;
-    private static final double LONGEST_GAP_MS = 50; // between two failures of one spell
+    private static final double MAX_GAP_MS = 50; // between two failures of one spell
 
     private final LongSupplier clockNanos;
     private boolean failing; // the last call has failed
     private long firstNanos;
     private long lastNanos;
 
-    FailureSpell() {
-        this(System::nanoTime);
+    FailureStreak() {
+        FailureStreak(System::nanoTime);
     }
 
-    FailureSpell(LongSupplier clockNanos) {
+    FailureStreak(LongSupplier clockNanos) {
         this.clockNanos = clockNanos;
     }
 
     /** A call has failed; how many milliseconds ago the first one of the spell did. */
-    double failed() {
-        boolean begins = !on();
+    double recordFailure() {
+        boolean begins = !isActive();
         failing = true;
         lastNanos = clockNanos.getAsLong();
         if (begins) {
@@ -35,14 +35,14 @@
     }
 
     /** A call has succeeded; how many milliseconds the spell that ends with it has taken, 0 where there was none. */
-    double over() {
-        double ms = on() ? (clockNanos.getAsLong() - firstNanos) / NANOS_PER_MS : 0;
+    double recordSuccess() {
+        double ms = isActive() ? (clockNanos.getAsLong() - firstNanos) / NANOS_PER_MS : 0;
         failing = false;
         return ms;
     }
 
     /** Whether the last call has failed just now. */
-    boolean on() {
-        return failing && (clockNanos.getAsLong() - lastNanos) / NANOS_PER_MS < LONGEST_GAP_MS;
+    boolean isActive() {
+        return failing && (clockNanos.getAsLong() - lastNanos) / NANOS_PER_MS < MAX_GAP_MS;
     }
 }
--- a/src/main/java/deckfall/net/RetryingServerSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingServerSocketChannel.java
@@ -11,7 +11,7 @@
 final class RetryingServerSocketChannel extends NioServerSocketChannel {
     private static final int MAX_READ_ROUNDS = 256; // of a read, which accepts up to 16: no queue is that long
 
-    private final FailureSpell failures = new FailureSpell();
+    private final FailureStreak failures = new FailureStreak();
     private double queueWaitMs; // for which those in the queue may have waited for calls that failed
     private boolean queueEmpty; // by the last accept
 
@@ -44,10 +44,10 @@
     private SocketChannel accept() throws IOException {
         try {
             SocketChannel socket = javaChannel().accept();
-            queueWaitMs = Math.max(queueWaitMs, failures.over());
+            queueWaitMs = Math.max(queueWaitMs, failures.recordSuccess());
             return socket;
         } catch (IOException e) {
-            failures.failed();
+            failures.recordFailure();
             throw e;
         }
     }
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -17,8 +17,8 @@
 
     private final boolean accepted; // from a client, to whom an answer is owed whatever its way back reports
     private double readDelayMs;
-    private final FailureSpell readFailures = new FailureSpell();
-    private final FailureSpell writeFailures = new FailureSpell();
+    private final FailureStreak readFailures = new FailureStreak();
+    private final FailureStreak writeFailures = new FailureStreak();
 
     /** One that is yet to be connected. */
     RetryingSocketChannel() {
@@ -39,7 +39,7 @@
 
     /** Whether the last read failed for the moment: what has come is not known then. */
     boolean readFailing() {
-        return readFailures.on();
+        return readFailures.isActive();
     }
 
     /** Whether nothing that was written here still waits for the system to take it. */
@@ -53,9 +53,9 @@
         readDelayMs = 0;
     }
 
-    private boolean isRetried(IOException e, FailureSpell failures) {
+    private boolean isRetried(IOException e, FailureStreak failures) {
         return (TransientErrors.isSystemError(e) || accepted && TransientErrors.isUnreachable(e))
-                && failures.failed() < MAX_FAILING_MS;
+                && failures.recordFailure() < MAX_FAILING_MS;
     }
 
     @Override
@@ -70,10 +70,10 @@
             throw e;
         }
         if (read < END_OF_STREAM) { // interrupted
-            readFailures.failed();
+            readFailures.recordFailure();
             return 0;
         }
-        readDelayMs = Math.max(readDelayMs, readFailures.over());
+        readDelayMs = Math.max(readDelayMs, readFailures.recordSuccess());
         return read;
     }
 
@@ -88,6 +88,6 @@
             setOpWrite(); // the rest is written in the loop's next turn
             return;
         }
-        writeFailures.over();
+        writeFailures.recordSuccess();
     }
 }
