--- a/src/main/java/deckfall/net/FailureStreak.java
+++ b/src/main/java/deckfall/net/FailureStreak.java
@@ -16,7 +16,7 @@
     private long lastNanos;
 
     FailureStreak() {
-        FailureStreak(System::nanoTime);
+        this(System::nanoTime);
     }
 
     FailureStreak(LongSupplier clockNanos) {
