--- a/src/main/java/deckfall/net/ConfigReloader.java
+++ b/src/main/java/deckfall/net/ConfigReloader.java
@@ -40,7 +40,7 @@
     private void read(int tries) {
         try {
             changed.accept(NodeConfig.read(file.toString()));
-        } catch (NodeConfig.BadConfig e) {
+        } catch (NodeConfig.InvalidConfigException e) {
             if (tries == TRIES || tries == 1) {
                 Node.log("configuration left as it was: " + e.getMessage());
             }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -142,7 +142,7 @@
             log(times.line());
             node.serving = true;
             reloadSignal.actsBy(node::reload);
-        } catch (NodeConfig.BadConfig | IOException | RuntimeException e) {
+        } catch (NodeConfig.InvalidConfigException | IOException | RuntimeException e) {
             System.err.println("deckfall: " + e.getMessage());
             Runtime.getRuntime().halt(1);
         }
@@ -164,11 +164,11 @@
     }
 
     /** The configuration, read again for a while where the file can't be read. */
-    private static NodeConfig config(String file) throws NodeConfig.BadConfig, IOException {
+    private static NodeConfig config(String file) throws NodeConfig.InvalidConfigException, IOException {
         try {
             return NodeConfig.read(file);
-        } catch (NodeConfig.BadConfig e) {
-            if (!e.mayPass()) {
+        } catch (NodeConfig.InvalidConfigException e) {
+            if (!e.isTransient()) {
                 throw e;
             }
             return StartStep.retried("no configuration", () -> NodeConfig.read(file));
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -49,29 +49,29 @@
     private static final double DEFAULT_MAX_OPEN = 20_000;
 
     /** One plain line on what is wrong with the configuration. */
-    static final class BadConfig extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        private final boolean mayPass;
+        private final boolean isTransient;
 
-        BadConfig(String message) {
-            this(message, false);
+        InvalidConfigException(String message) {
+            InvalidConfigException(message, false);
         }
 
-        BadConfig(String message, boolean mayPass) {
+        InvalidConfigException(String message, boolean isTransient) {
             super(message);
-            this.mayPass = mayPass;
+            this.isTransient = isTransient;
         }
 
         /** Whether the file could not be read just now, so that it may be a moment later. */
-        boolean mayPass() {
-            return mayPass;
+        boolean isTransient() {
+            return isTransient;
         }
     }
 
-    static NodeConfig read(String file) throws BadConfig {
+    static NodeConfig read(String file) throws InvalidConfigException {
         if (file == null || file.isEmpty()) {
-            throw new BadConfig("NODE_CONFIG names no file");
+            throw new InvalidConfigException("NODE_CONFIG names no file");
         }
         byte[] bytes = bytes(file);
         try {
@@ -82,19 +82,19 @@
             }
             return of(root);
         } catch (IOException e) {
-            throw new BadConfig("can't read " + file + ": "
+            throw new InvalidConfigException("can't read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         } catch (WireFormatException | IllegalArgumentException e) {
-            throw new BadConfig(file + ": " + e.getMessage());
+            throw new InvalidConfigException(file + ": " + e.getMessage());
         }
     }
 
-    private static byte[] bytes(String file) throws BadConfig {
+    private static byte[] bytes(String file) throws InvalidConfigException {
         try {
             return Files.readAllBytes(Path.of(file));
         } catch (IOException e) {
             boolean lasting = e instanceof NoSuchFileException || e instanceof AccessDeniedException;
-            throw new BadConfig("can't read " + file + ": " + e.getMessage(), !lasting);
+            throw new InvalidConfigException("can't read " + file + ": " + e.getMessage(), !lasting);
         }
     }
 
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -1143,7 +1143,8 @@
                     () -> NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
             assertEquals(1, e.getMessage().lines().count());
         }
-        NodeConfig.BadConfig missing = assertThrows(NodeConfig.BadConfig.class, () -> NodeConfig.read("/no/such/file"));
+        NodeConfig.InvalidConfigException missing =
+                assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.read("/no/such/file"));
         assertEquals(1, missing.getMessage().lines().count());
     }
 }
