--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -55,7 +55,7 @@
         private final boolean isTransient;
 
         InvalidConfigException(String message) {
-            InvalidConfigException(message, false);
+            this(message, false);
         }
 
         InvalidConfigException(String message, boolean isTransient) {
