--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -263,7 +263,7 @@
                             e.path("started_ms").asDouble()),
                     state == HostState.GONE && e.path("addr").asText().isEmpty()
                             ? null
-                            : NodeConfig.address(e.path("addr").asText())));
+                            : NodeConfig.parseAddress(e.path("addr").asText())));
         }
         return entries;
     }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -210,7 +210,7 @@
                 pools.remove(id);
                 close(old, stranded);
             } else if (!same) {
-                pools.put(id, new Pool(e.address(), e.host().startedMs(), node.config.idleMs() * IDLE_SHARE));
+                pools.put(id, new Pool(e.address(), e.host().startedMs(), node.config.connectionIdleMs() * IDLE_SHARE));
                 close(old, stranded);
             } else if (e.host().state() == HostState.DRAINING) {
                 old.strand(stranded);
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -218,8 +218,8 @@
                         tell((now, m) -> m.start(now, config.settings()));
                         tell((now, m) -> m.restoreCustomers(now, recalled));
                         peers.start();
-                        if (config.known().hasNonNull(Discovery.LIST)) {
-                            hostsTold(HostListKind.CACHED, Discovery.entries(config.known()));
+                        if (config.knownList().hasNonNull(Discovery.LIST)) {
+                            hostsTold(HostListKind.CACHED, Discovery.entries(config.knownList()));
                         }
                         discovery.start();
                         counter.start();
@@ -521,7 +521,7 @@
     }
 
     boolean full() {
-        return open.size() >= config.maxOpen();
+        return open.size() >= config.maxOpenRequests();
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -31,22 +31,22 @@
         InetSocketAddress counter,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
+        InetSocketAddress peerBroadcast,
         int sockets,
-        JsonNode known,
+        JsonNode knownList,
         Settings settings,
         double connectTimeoutMs,
-        double idleMs,
+        double connectionIdleMs,
         double counterTimeoutMs,
-        int maxOpen) {
-    private static final int PORT_MAX = 65_535;
-    private static final int HEX = 16;
-    private static final String OPERATOR = "operator";
+        int maxOpenRequests) {
+    private static final int MAX_PORT = 65_535;
+    private static final int HEX_RADIX = 16;
+    private static final String OPERATOR_KEY = "operator";
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int REHEARSAL_SOCKETS = 32; // beside a process that serves, and may hold all the others
-    private static final double DEFAULT_IDLE_MS = 15_000;
-    private static final double DEFAULT_COUNTER_MS = 80;
-    private static final double DEFAULT_MAX_OPEN = 20_000;
+    private static final double DEFAULT_CONNECTION_IDLE_MS = 15_000;
+    private static final double DEFAULT_COUNTER_TIMEOUT_MS = 80;
+    private static final double DEFAULT_MAX_OPEN_REQUESTS = 20_000;
 
     /** One plain line on what is wrong with the configuration. */
     static final class InvalidConfigException extends Exception {
@@ -73,12 +73,12 @@
         if (file == null || file.isEmpty()) {
             throw new InvalidConfigException("NODE_CONFIG names no file");
         }
-        byte[] bytes = bytes(file);
+        byte[] bytes = readBytes(file);
         try {
             JsonNode root = new ObjectMapper().readTree(bytes);
             String operator = System.getenv("NODE_OPERATOR");
             if (operator != null && !operator.isEmpty() && root instanceof ObjectNode object) {
-                object.put(OPERATOR, operator);
+                object.put(OPERATOR_KEY, operator);
             }
             return of(root);
         } catch (IOException e) {
@@ -89,7 +89,7 @@
         }
     }
 
-    private static byte[] bytes(String file) throws InvalidConfigException {
+    private static byte[] readBytes(String file) throws InvalidConfigException {
         try {
             return Files.readAllBytes(Path.of(file));
         } catch (IOException e) {
@@ -104,41 +104,43 @@
         }
         Map<String, String> pairs = new TreeMap<>();
         flatten("", root.path("settings"), pairs);
-        pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(text(root, "seed"), HEX)));
+        pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(requiredText(root, "seed"), HEX_RADIX)));
         Fields fields = new Fields(pairs);
         Settings settings = SettingsReader.read(fields);
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonNode peer : root.path("peers")) {
-            peers.add(address(peer.asText()));
+            peers.add(parseAddress(peer.asText()));
         }
-        boolean mail = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
+        boolean peerMessages = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         return new NodeConfig(
-                address(text(root, "listen")),
-                root.hasNonNull(OPERATOR) ? address(text(root, OPERATOR)) : null,
-                address(text(root, "discovery")),
+                parseAddress(requiredText(root, "listen")),
+                root.hasNonNull(OPERATOR_KEY) ? parseAddress(requiredText(root, OPERATOR_KEY)) : null,
+                parseAddress(requiredText(root, "discovery")),
                 settings.coordination().hasCounter() && root.hasNonNull("counter")
-                        ? address(text(root, "counter"))
+                        ? parseAddress(requiredText(root, "counter"))
                         : null,
-                mail ? address(text(root, "peer_listen")) : null,
+                peerMessages ? parseAddress(requiredText(root, "peer_listen")) : null,
                 List.copyOf(peers),
-                root.hasNonNull("peers_all") ? address(text(root, "peers_all")) : null,
+                root.hasNonNull("peers_all") ? parseAddress(requiredText(root, "peers_all")) : null,
                 root.path("limits").path("sockets").asInt(DEFAULT_SOCKETS),
                 root.path("known"),
                 settings,
                 settings.limits().connectTimeoutMs(),
-                fields.number("limits.conn_idle_ms", DEFAULT_IDLE_MS),
-                fields.number("specifics.counter_timeout_ms", DEFAULT_COUNTER_MS),
-                (int) fields.number("limits.max_open", DEFAULT_MAX_OPEN));
+                fields.number("limits.conn_idle_ms", DEFAULT_CONNECTION_IDLE_MS),
+                fields.number("specifics.counter_timeout_ms", DEFAULT_COUNTER_TIMEOUT_MS),
+                (int) fields.number("limits.max_open", DEFAULT_MAX_OPEN_REQUESTS));
     }
 
     /** Whether the list that it starts with tells of changes: then it had that list in service before a restart. */
     boolean wasInService() {
-        return known.path("version").asLong() > 0;
+        return knownList.path("version").asLong() > 0;
     }
 
     /** The version of the list that it starts with; -1 where that names no host. */
     long knownVersion() {
-        return known.path(Discovery.LIST).isEmpty() ? -1 : known.path("version").asLong(-1);
+        return knownList.path(Discovery.LIST).isEmpty()
+                ? -1
+                : knownList.path("version").asLong(-1);
     }
 
     /** The same settings for a node at {@code at} that is its own discovery and only host. */
@@ -165,20 +167,20 @@
                 list,
                 settings,
                 connectTimeoutMs,
-                idleMs,
+                connectionIdleMs,
                 counterTimeoutMs,
-                maxOpen);
+                maxOpenRequests);
     }
 
     /** Nested settings under the names that the simulator's wire gives them. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
-        String below = path.isEmpty() ? "" : path + ".";
+        String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
-            node.fields().forEachRemaining(e -> flatten(below + e.getKey(), e.getValue(), pairs));
+            node.fields().forEachRemaining(e -> flatten(prefix + e.getKey(), e.getValue(), pairs));
         } else if (node.isArray() && node.size() > 0 && node.get(0).isObject()) {
-            pairs.put(below + "count", Integer.toString(node.size()));
+            pairs.put(prefix + "count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(below + i, node.get(i), pairs);
+                flatten(prefix + i, node.get(i), pairs);
             }
         } else if (node.isArray()) {
             StringJoiner list = new StringJoiner(",");
@@ -189,7 +191,7 @@
         }
     }
 
-    private static String text(JsonNode root, String name) {
+    private static String requiredText(JsonNode root, String name) {
         JsonNode value = root.path(name);
         if (!value.isTextual() || value.asText().isEmpty()) {
             throw new IllegalArgumentException("missing or malformed '" + name + "'");
@@ -198,14 +200,14 @@
     }
 
     /** Numbers and a port: there are no names to look up. */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (ip == null) {
             throw new IllegalArgumentException("bad address '" + text + "'");
         }
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 0 || port > PORT_MAX) {
+        if (port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("bad port in '" + text + "'");
         }
         try {
--- a/src/main/java/deckfall/net/PeerLink.java
+++ b/src/main/java/deckfall/net/PeerLink.java
@@ -81,7 +81,7 @@
 
     void send(int peer, byte[] data) {
         InetSocketAddress to = peer == EVERYONE
-                ? node.config.peersAll()
+                ? node.config.peerBroadcast()
                 : peer >= 0 && peer < node.config.peers().size()
                         ? node.config.peers().get(peer)
                         : null;
