--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -150,7 +150,7 @@
 
     /** What all processes of this gateway hold of the descriptors that clients share. */
     int descriptorsHeld() {
-        return node.heldByAll(connections.size(), SiblingWatch.Siblings::clients);
+        return node.heldByAll(connections.size(), SiblingWatch.SiblingCounts::clientConnections);
     }
 
     /** Whether clients hold more than their share: connections end with their next answer. */
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -235,7 +235,7 @@
 
     /** How many all processes of this gateway hold. */
     int held() {
-        return node.heldByAll(connections, SiblingWatch.Siblings::hosts);
+        return node.heldByAll(connections, SiblingWatch.SiblingCounts::hostConnections);
     }
 
     /** How many hosts the list names. */
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -82,11 +82,12 @@
     private volatile boolean serving;
     private boolean warmingUp;
     private ConfigReloader reloader; // null where the configuration came from elsewhere
-    private SiblingWatch siblings; // set before the start, where another process may serve as this gateway
+    private SiblingWatch siblingWatch; // set before the start, where another process may serve as this gateway
     private List<CustomerSnapshot> recalled = List.of();
-    private int processes = 1;
-    private SiblingWatch.Siblings others = SiblingWatch.Siblings.NONE;
-    private SiblingWatch.Siblings told = SiblingWatch.Siblings.NONE; // what others have last heard of this process
+    private int servingProcesses = 1;
+    private SiblingWatch.SiblingCounts siblings = SiblingWatch.SiblingCounts.NONE;
+    private SiblingWatch.SiblingCounts lastPublished =
+            SiblingWatch.SiblingCounts.NONE; // what others have last heard of this process
     private volatile boolean ending; // by SIGTERM: no operator takes that back
     private boolean over; // the drain's time is up: nothing more is sent
     private long repeats;
@@ -324,7 +325,7 @@
     /** Other processes that serve as this gateway are told of this one from here on, by files in a folder. */
     SiblingWatch watchSiblings(Path folder) {
         SiblingFiles files = new SiblingFiles(folder, ProcessHandle.current().pid());
-        siblings = new SiblingWatch(files, clock, new SiblingWatch.Gateway() {
+        siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.Gateway() {
             @Override
             public boolean takesClients() {
                 return serving && !ending;
@@ -347,35 +348,35 @@
             }
 
             @Override
-            public void siblings(SiblingWatch.Siblings seen) {
-                loop.execute(() -> heard(seen));
+            public void siblings(SiblingWatch.SiblingCounts seen) {
+                loop.execute(() -> siblingsChanged(seen));
             }
 
             @Override
-            public void told(SiblingWatch.Siblings own) {
-                loop.execute(() -> told = own);
+            public void told(SiblingWatch.SiblingCounts own) {
+                loop.execute(() -> lastPublished = own);
             }
         });
-        siblings.start();
-        return siblings;
+        siblingWatch.start();
+        return siblingWatch;
     }
 
-    private void heard(SiblingWatch.Siblings seen) {
-        others = seen;
-        share(1 + seen.serving());
+    private void siblingsChanged(SiblingWatch.SiblingCounts seen) {
+        siblings = seen;
+        updateProcessCount(1 + seen.serving());
     }
 
-    private void share(int count) {
-        if (count != processes && serving) {
+    private void updateProcessCount(int count) {
+        if (count != servingProcesses && serving) {
             log("processes serving as this gateway: " + count);
-            processes = count;
+            servingProcesses = count;
             tell((now, m) -> m.processCountChanged(now, count));
         }
     }
 
     /** What other processes of this gateway were last heard to hold. */
-    SiblingWatch.Siblings others() {
-        return others;
+    SiblingWatch.SiblingCounts siblings() {
+        return siblings;
     }
 
     /** Connections from clients that all processes of this gateway hold. */
@@ -392,15 +393,15 @@
      * What this process and the others hold of something, at most: since this process last told of itself each of the
      * others may have taken as much more as it has itself.
      */
-    int heldByAll(int own, ToIntFunction<SiblingWatch.Siblings> held) {
-        int grown = Math.max(0, own - held.applyAsInt(told));
-        return own + held.applyAsInt(others) + grown * others.count();
+    int heldByAll(int own, ToIntFunction<SiblingWatch.SiblingCounts> held) {
+        int grown = Math.max(0, own - held.applyAsInt(lastPublished));
+        return own + held.applyAsInt(siblings) + grown * siblings.processes();
     }
 
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
     private void recall() {
-        if (siblings != null) {
-            recalled = siblings.memoryOfOther();
+        if (siblingWatch != null) {
+            recalled = siblingWatch.memoryOfOther();
             log("recalled " + recalled.size() + " customers of another process");
         }
     }
@@ -783,8 +784,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (siblings != null) {
-            siblings.stop();
+        if (siblingWatch != null) {
+            siblingWatch.stop();
         }
         Runtime.getRuntime().halt(0);
     }
@@ -832,7 +833,7 @@
      * left to it.
      */
     private void stopAccepting(double latest) {
-        boolean leftToOther = clients.sharesListener() && processes > 1;
+        boolean leftToOther = clients.sharesListener() && servingProcesses > 1;
         boolean allAccepted = leftToOther || clients.acceptQueued();
         boolean stirs = !leftToOther && clock.now() - clients.lastActivityMs() < Drain.RECONNECT_MS;
         if ((stirs || !allAccepted) && clock.now() < latest) {
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -19,8 +19,8 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** How many processes there are, how many of them serve, and the connections that they hold together. */
-    record Siblings(int count, int serving, int clients, int hosts) {
-        static final Siblings NONE = new Siblings(0, 0, 0, 0);
+    record SiblingCounts(int processes, int serving, int clientConnections, int hostConnections) {
+        static final SiblingCounts NONE = new SiblingCounts(0, 0, 0, 0);
     }
 
     /** This process. */
@@ -35,10 +35,10 @@
         List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException;
 
         /** Called from the watch's thread. */
-        void siblings(Siblings seen);
+        void siblings(SiblingCounts seen);
 
         /** What the other processes can know of this one from now on; called from the watch's thread. */
-        void told(Siblings own);
+        void told(SiblingCounts own);
     }
 
     private final SiblingFiles files;
@@ -87,7 +87,7 @@
         int serving = (int) others.stream().filter(SiblingFiles.Note::serving).count();
         int clients = others.stream().mapToInt(SiblingFiles.Note::clients).sum();
         int hosts = others.stream().mapToInt(SiblingFiles.Note::hosts).sum();
-        gateway.siblings(new Siblings(others.size(), serving, clients, hosts)); // first, as the folder may be full
+        gateway.siblings(new SiblingCounts(others.size(), serving, clients, hosts)); // first, as the folder may be full
         boolean takes = gateway.takesClients();
         boolean asked = takes && serving < others.size(); // by one that starts
         int clientsNow = gateway.clientConnections();
@@ -99,7 +99,7 @@
                 clientsNow,
                 hostsNow,
                 asked ? inMonotonicTime(gateway.memory()) : List.of()));
-        gateway.told(new Siblings(1, takes ? 1 : 0, clientsNow, hostsNow));
+        gateway.told(new SiblingCounts(1, takes ? 1 : 0, clientsNow, hostsNow));
     }
 
     /** What a process that serves now remembers, for one that starts; empty where there is none. */
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -678,7 +678,9 @@
         new SiblingFiles(folder, 1).write(crowded);
         SiblingWatch watch = node.watchSiblings(folder);
         watch.look();
-        node.loop.submit(() -> assertEquals(share, node.others().clients())).sync();
+        node.loop
+                .submit(() -> assertEquals(share, node.siblings().clientConnections()))
+                .sync();
         Message answer =
                 client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals("for v ", answer.text());
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import deckfall.Gateway.CustomerSnapshot;
-import deckfall.net.SiblingWatch.Siblings;
+import deckfall.net.SiblingWatch.SiblingCounts;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +19,7 @@
     @TempDir
     private Path folder;
 
-    private final List<Siblings> seen = new ArrayList<>();
+    private final List<SiblingCounts> seen = new ArrayList<>();
     private boolean fails;
 
     /** A process with a memory of one customer, of the times {@code atMs} on its own clock. */
@@ -46,7 +46,7 @@
             }
 
             @Override
-            public void siblings(Siblings all) {
+            public void siblings(SiblingCounts all) {
                 if (fails) {
                     throw new IllegalStateException("made up by the test");
                 }
@@ -54,8 +54,8 @@
             }
 
             @Override
-            public void told(Siblings own) {
-                assertEquals(new Siblings(1, 1, 3, 4), own);
+            public void told(SiblingCounts own) {
+                assertEquals(new SiblingCounts(1, 1, 3, 4), own);
             }
         };
     }
@@ -73,7 +73,7 @@
         fails = false;
         new SiblingFiles(folder, OTHER_PID).write(note(true));
         watch.look();
-        assertEquals(List.of(new Siblings(1, 1, 5, 6)), seen);
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
     /** A folder in which nothing can be written still tells of the other process. */
@@ -82,7 +82,7 @@
         new SiblingFiles(folder, OTHER_PID).write(note(true));
         Files.createDirectory(folder.resolve("gateway-2.part"));
         new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), gateway(0)).look();
-        assertEquals(List.of(new Siblings(1, 1, 5, 6)), seen);
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
     /** After a step of the wall clock the times of the memory were off by as much, and the process was not seen. */
