--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -150,7 +150,7 @@
 
     /** What all processes of this gateway hold of the descriptors that clients share. */
     int descriptorsHeld() {
-        return node.heldByAll(connections.size(), SiblingWatch.SiblingCounts::clientConnections);
+        return node.totalAcrossProcesses(connections.size(), SiblingWatch.SiblingCounts::clientConnections);
     }
 
     /** Whether clients hold more than their share: connections end with their next answer. */
@@ -159,7 +159,7 @@
     }
 
     private int maxClientDescriptors() {
-        return limits.maxClients(node.hostsHeld());
+        return limits.maxClients(node.totalHostConnections());
     }
 
     /** What a client's message is read with. */
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -234,8 +234,8 @@
     }
 
     /** How many all processes of this gateway hold. */
-    int held() {
-        return node.heldByAll(connections, SiblingWatch.SiblingCounts::hostConnections);
+    int totalConnections() {
+        return node.totalAcrossProcesses(connections, SiblingWatch.SiblingCounts::hostConnections);
     }
 
     /** How many hosts the list names. */
@@ -266,8 +266,8 @@
 
     /** Makes room for one more connection at the cost of one that is idle somewhere. */
     private boolean room() {
-        int most = Math.min(maxConnections, limits.maxHosts(node.clientsHeld()));
-        if (held() < most) {
+        int most = Math.min(maxConnections, limits.maxHosts(node.totalClientConnections()));
+        if (totalConnections() < most) {
             return true;
         }
         for (Pool pool : pools.values()) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -380,22 +380,22 @@
     }
 
     /** Connections from clients that all processes of this gateway hold. */
-    int clientsHeld() {
+    int totalClientConnections() {
         return clients.descriptorsHeld();
     }
 
     /** The same of connections to hosts. */
-    int hostsHeld() {
-        return hosts.held();
+    int totalHostConnections() {
+        return hosts.totalConnections();
     }
 
     /**
      * What this process and the others hold of something, at most: since this process last told of itself each of the
      * others may have taken as much more as it has itself.
      */
-    int heldByAll(int own, ToIntFunction<SiblingWatch.SiblingCounts> held) {
-        int grown = Math.max(0, own - held.applyAsInt(lastPublished));
-        return own + held.applyAsInt(siblings) + grown * siblings.processes();
+    int totalAcrossProcesses(int own, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
+        int grown = Math.max(0, own - connections.applyAsInt(lastPublished));
+        return own + connections.applyAsInt(siblings) + grown * siblings.processes();
     }
 
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
