--- a/src/main/java/deckfall/net/ConnectionLimits.java
+++ b/src/main/java/deckfall/net/ConnectionLimits.java
@@ -13,7 +13,7 @@
 
     ConnectionLimits(int sockets) {
         maxKeepAlive = maxKeepAlive(sockets);
-        sharedDescriptors = sockets - HostClient.reserve(sockets);
+        sharedDescriptors = sockets - HostClient.reservedDescriptors(sockets);
     }
 
     /** The most connections from clients that are kept between requests, where there are so many descriptors. */
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -64,15 +64,15 @@
     private static final double REST_MS = 30; // a second copy of an answer may come some milliseconds after the first
     private static final long SWEEP_MS = 500;
     private static final int MOST_KEPT = 64 * 1024; // of an answer: beyond this it is passed on as it comes
-    private static final double SOCKET_SHARE = 0.45; // of all descriptors
+    private static final double MAX_DESCRIPTOR_FRACTION = 0.45; // of all descriptors
     /**
      * Descriptors for all else: 22 of a process that has just started, discovery and the counter, 16 callers at the
      * operator's address, files that are read anew, and those that are closed only at the loop's next turn, of which
      * a turn that accepts leaves up to 16.
      */
-    static final int RESERVE = 64;
+    static final int RESERVED_DESCRIPTORS = 64;
 
-    private static final int MOST_RESERVED = 4; // one in so many, where there are few
+    private static final int RESERVED_DIVISOR = 4; // one in so many, where there are few
     private static final double PROBE_TIMEOUT_MS = 250;
 
     private final Node node;
@@ -84,7 +84,7 @@
 
     HostClient(Node node) {
         this.node = node;
-        this.maxConnections = most(node.config.sockets());
+        this.maxConnections = connectionLimit(node.config.sockets());
         this.limits = new ConnectionLimits(node.config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(node.loop)
@@ -97,14 +97,14 @@
     }
 
     /** The most connections to hosts, where there are so many descriptors and clients hold all that they may. */
-    static int most(int sockets) {
-        int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - reserve(sockets);
-        return (int) Math.min(sockets * SOCKET_SHARE, left);
+    static int connectionLimit(int sockets) {
+        int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - reservedDescriptors(sockets);
+        return (int) Math.min(sockets * MAX_DESCRIPTOR_FRACTION, left);
     }
 
     /** How many descriptors are left to all but clients and hosts, where there are so many. */
-    static int reserve(int sockets) {
-        return Math.min(RESERVE, sockets / MOST_RESERVED);
+    static int reservedDescriptors(int sockets) {
+        return Math.min(RESERVED_DESCRIPTORS, sockets / RESERVED_DIVISOR);
     }
 
     /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -1045,10 +1045,10 @@
     @Test
     void descriptorsRemainInReserve() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
-            int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.most(sockets);
-            assertTrue(left >= HostClient.RESERVE, left + " of " + sockets);
+            int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.connectionLimit(sockets);
+            assertTrue(left >= HostClient.RESERVED_DESCRIPTORS, left + " of " + sockets);
         }
-        assertTrue(HostClient.most(20) > 1);
+        assertTrue(HostClient.connectionLimit(20) > 1);
     }
 
     @Test
