--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -78,7 +78,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        node.loopDelay.observeDelayMs();
+        node.eventLoopLag.observeDelayMs();
         server.connectionOpened(this);
         lastUsedMs = node.clock.now();
         partialHeadSinceMs = lastUsedMs; // a stranger's time counts from its connecting
@@ -196,7 +196,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        double delayMs = Math.max(node.loopDelay.observeDelayMs(), channel.readDelayMs());
+        double delayMs = Math.max(node.eventLoopLag.observeDelayMs(), channel.readDelayMs());
         queue.add(new QueuedMessage((HttpObject) message, node.clock.now() - delayMs));
         addQueuedBytes(sizeBytes(message));
     }
@@ -250,7 +250,7 @@
 
     private void addQueuedBytes(int bytes) {
         queuedBytes += bytes;
-        node.room.reserve(bytes);
+        node.memoryBudget.reserve(bytes);
     }
 
     private void discardQueue() {
@@ -284,7 +284,9 @@
         boolean autoRead = incoming != null && !closing
                 ? incoming.acceptsMore()
                 : queuedBytes
-                        < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MAX_READ_AHEAD_BYTES);
+                        < (node.memoryBudget.nearlyExhausted()
+                                ? IncomingRequest.MAX_SMALL_BODY_BYTES
+                                : MAX_READ_AHEAD_BYTES);
         if (channel.config().isAutoRead() != autoRead) {
             channel.config().setAutoRead(autoRead);
         }
@@ -327,7 +329,7 @@
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
-        incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
+        incoming = new IncomingRequest(head, originForm(head.uri()), node.memoryBudget, node.clock.now());
         incoming.onAcceptsMore(this::updateAutoRead);
         if (incoming.tooLong()) {
             respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
@@ -418,11 +420,11 @@
     }
 
     private boolean refusesNewRequests() {
-        return node.full() || node.room.exhausted() || node.over();
+        return node.full() || node.memoryBudget.exhausted() || node.over();
     }
 
     private void refuseOverload(Request request) {
-        node.figures.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
+        node.metrics.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
         respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
@@ -518,9 +520,9 @@
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
         setConnectionHeader(response);
         if (closing || bytes > MAX_UNCOUNTED_RESPONSE_BYTES) {
-            node.room.reserve(bytes); // until a slow client has taken it
+            node.memoryBudget.reserve(bytes); // until a slow client has taken it
             ChannelFuture sent = channel.writeAndFlush(response);
-            sent.addListener(f -> node.room.release(bytes));
+            sent.addListener(f -> node.memoryBudget.release(bytes));
             responseWritten(sent);
         } else {
             channel.writeAndFlush(response, channel.voidPromise());
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -159,7 +159,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) throws IOException {
-            node.loopDelay.observeDelayMs();
+            node.eventLoopLag.observeDelayMs();
             timeout.cancel(false);
             if (!response.status().equals(HttpResponseStatus.OK)) {
                 throw new IOException("discovery answered " + response.status());
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -467,7 +467,7 @@
         /** What was asked has left, or could not: also where nobody waits for the answer any more. */
         private void wrote(Exchange x, boolean all) {
             if (all && x instanceof Attempt) {
-                node.figures.recordDispatch();
+                node.metrics.recordDispatch();
             }
             if (exchange != x) {
                 return;
@@ -557,7 +557,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            node.loopDelay.observeDelayMs();
+            node.eventLoopLag.observeDelayMs();
             try {
                 HttpObject object = (HttpObject) message;
                 if (exchange == null && transfer == null || answer != null) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -61,13 +61,13 @@
 
     final NodeConfig config;
     final Clock clock;
-    final EventLoopLag loopDelay = new EventLoopLag();
+    final EventLoopLag eventLoopLag = new EventLoopLag();
     final NioEventLoopGroup group =
-            new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> loopDelay);
+            new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> eventLoopLag);
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
-    final MemoryBudget room = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
-    final Metrics figures;
+    final MemoryBudget memoryBudget = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+    final Metrics metrics;
     private final Events module;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
@@ -104,7 +104,7 @@
     Node(NodeConfig config, Function<Actions, Events> maker, Clock clock) {
         this.config = config;
         this.clock = clock;
-        this.figures = new Metrics(config.settings().classes());
+        this.metrics = new Metrics(config.settings().classes());
         this.module = maker.apply(this);
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
@@ -159,7 +159,7 @@
     }
 
     private static OperatorServer operator(NodeConfig config, Node node) throws IOException {
-        OperatorServer operator = new OperatorServer(config.operator(), node.operations());
+        OperatorServer operator = new OperatorServer(config.operator(), node.operatorCommands());
         operator.start();
         return operator;
     }
@@ -307,7 +307,7 @@
             return;
         }
         telling = true;
-        loopDelay.observeDelayMs(); // a timer's turn has no I/O
+        eventLoopLag.observeDelayMs(); // a timer's turn has no I/O
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
                 try {
@@ -407,7 +407,7 @@
     }
 
     private void countHosts() {
-        figures.targets(hosts.listed(), module.avoidedHostCount(clock.now()));
+        metrics.targets(hosts.listed(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -424,7 +424,7 @@
     }
 
     /** What an operator may ask of this node. */
-    OperatorServer.Commands operations() {
+    OperatorServer.Commands operatorCommands() {
         return new OperatorServer.Commands() {
             @Override
             public String notReadyReason() {
@@ -433,7 +433,7 @@
 
             @Override
             public String metrics() {
-                return figures.text();
+                return metrics.text();
             }
 
             @Override
@@ -479,7 +479,7 @@
         Request told = id.equals(r.id()) ? r : due(r, id, 0);
         OpenRequest entry = new OpenRequest(told, message, r.id(), client);
         open.put(id, entry);
-        figures.requestOpened();
+        metrics.requestOpened();
         tally.add(Tally.Count.TAKEN);
         client.setOpenRequest(entry);
         guard(entry);
@@ -580,7 +580,7 @@
             ClientConnection client = close(r);
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
-                figures.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
+                metrics.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
                 client.sendResponse(response);
             }
         }
@@ -604,7 +604,7 @@
     /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
     private ClientConnection close(OpenRequest r) {
         if (!r.closed()) {
-            figures.requestClosed();
+            metrics.requestClosed();
         }
         return r.close();
     }
@@ -631,9 +631,9 @@
 
     /** The end of an answer's transfer; {@code end} is null where its client had left. */
     void transferred(String requestClass, Metrics.Result end) {
-        figures.requestClosed();
+        metrics.requestClosed();
         if (end != null) {
-            figures.recordResult(requestClass, end);
+            metrics.recordResult(requestClass, end);
             tally.add(end == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
         }
     }
@@ -740,7 +740,7 @@
             boolean refused = status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
-            figures.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
+            metrics.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
             client.respond(status, retryAfterMs);
         }
         if (r != null) {
@@ -775,12 +775,12 @@
     // ---- the end
 
     private void drainAndHalt() {
-        log("ending: no new clients, " + figures.openRequests() + " requests open");
+        log("ending: no new clients, " + metrics.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
             boolean all = awaitDrained(EXIT_MS);
             loop.submit(this::logTally).await(LAST_WORD_MS);
-            log("ended, " + (all ? "all answered" : figures.openRequests() + " requests still open"));
+            log("ended, " + (all ? "all answered" : metrics.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -110,7 +110,7 @@
         int ms = TestEndpoints.TIMEOUT_MS;
         Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
         assertNotNull(host.nextRequest());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         go.countDown();
         assertEquals("one", c.receive().text());
         assertEquals("two", c.receive().text());
@@ -151,7 +151,7 @@
         for (int i = 0; i < count; i++) {
             assertNotNull(host.nextRequest());
         }
-        while (node.figures.openRequests() > 0) {
+        while (node.metrics.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
         }
         node.loop
@@ -194,7 +194,7 @@
         node.start();
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
         clock.offsetMs = 10_000;
         assertNull(idle.receive()); // from here on there is a sweep every 50 ms
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -853,7 +853,7 @@
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeWithServers(host);
-        OperatorServer.Commands operations = node.operations();
+        OperatorServer.Commands operations = node.operatorCommands();
         assertNull(operations.notReadyReason());
         Client kept = client(node);
         assertEquals(
@@ -926,7 +926,7 @@
     }
 
     private static long metric(Node node, String name) {
-        for (String line : node.operations().metrics().split("\n")) {
+        for (String line : node.operatorCommands().metrics().split("\n")) {
             if (line.startsWith("edge_node_" + name + " ")) {
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
             }
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -399,7 +399,7 @@
     }
 
     private static long memoryUsed(Node node) throws Exception {
-        return node.loop.submit(node.room::usedBytes).get();
+        return node.loop.submit(node.memoryBudget::usedBytes).get();
     }
 
     /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
