--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -159,7 +159,8 @@
         server.setIdle(this, false);
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished); // its body will not become whole, or nothing shows whether its client waits
+            node.clientDisconnected(
+                    unfinished); // its body will not become whole, or nothing shows whether its client waits
         }
         respond(status, 0);
     }
@@ -167,7 +168,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         server.connectionClosed(this);
-        node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
+        node.connectionClosed(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
         discardQueue();
         closing = true;
         if (readPauseTimeout != null) {
@@ -176,7 +177,7 @@
         OpenRequest unfinished = openRequest;
         openRequest = null;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         if (transfer != null) {
             transfer.clientLeft();
@@ -380,7 +381,7 @@
         keepAlive = false;
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         respond(HttpResponseStatus.BAD_REQUEST, 0);
     }
@@ -389,7 +390,7 @@
         message.markComplete();
         if (openRequest != null) { // taken before
             Request request = server.requestReader().read(message, messageReadMs);
-            node.bodyCame(openRequest, request.deadlineMs());
+            node.bodyReceived(openRequest, request.deadlineMs());
         } else if (message.uri.equals(READINESS_PATH)) {
             message.release();
             respond(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
@@ -407,7 +408,7 @@
             message.release();
             refuseOverload(request);
         } else {
-            node.taken(request, message, this);
+            node.requestReceived(request, message, this);
         }
     }
 
@@ -420,7 +421,7 @@
     }
 
     private boolean refusesNewRequests() {
-        return node.full() || node.memoryBudget.exhausted() || node.over();
+        return node.openLimitReached() || node.memoryBudget.exhausted() || node.drainExpired();
     }
 
     private void refuseOverload(Request request) {
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -89,7 +89,7 @@
     private SiblingWatch.SiblingCounts lastPublished =
             SiblingWatch.SiblingCounts.NONE; // what others have last heard of this process
     private volatile boolean ending; // by SIGTERM: no operator takes that back
-    private boolean over; // the drain's time is up: nothing more is sent
+    private boolean drainExpired; // the drain's time is up: nothing more is sent
     private long repeats;
 
     Node(NodeConfig config) {
@@ -415,7 +415,7 @@
     }
 
     /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
-    void connectionEnded(CloseReason why, int unanswered) {
+    void connectionClosed(CloseReason why, int unanswered) {
         tally.addClose(why);
         if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
             tally.add(Tally.Count.CLOSED_UNANSWERED);
@@ -470,7 +470,7 @@
      * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
-    void taken(Request read, IncomingRequest message, ClientConnection client) {
+    void requestReceived(Request read, IncomingRequest message, ClientConnection client) {
         Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / BODY_BYTES_PER_MS);
         String id = r.id();
         while (open.containsKey(id)) { // the module knows requests by id, and a client may repeat one
@@ -504,7 +504,7 @@
     }
 
     /** The last byte of a request has come that was taken before. */
-    void bodyCame(OpenRequest r, double deadlineMs) {
+    void bodyReceived(OpenRequest r, double deadlineMs) {
         r.deadlineMs = deadlineMs;
         if (!r.closed()) {
             r.deadlineTimer.cancel(false);
@@ -521,7 +521,7 @@
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
-    boolean full() {
+    boolean openLimitReached() {
         return open.size() >= config.maxOpenRequests();
     }
 
@@ -558,7 +558,7 @@
         }
     }
 
-    void clientLeft(OpenRequest r) {
+    void clientDisconnected(OpenRequest r) {
         if (r.closed()) {
             return;
         }
@@ -630,7 +630,7 @@
     }
 
     /** The end of an answer's transfer; {@code end} is null where its client had left. */
-    void transferred(String requestClass, Metrics.Result end) {
+    void transferEnded(String requestClass, Metrics.Result end) {
         metrics.requestClosed();
         if (end != null) {
             metrics.recordResult(requestClass, end);
@@ -690,13 +690,13 @@
     /** Whether an attempt may go out now; one that may not has ended without having run. */
     boolean maySend(Attempt a) {
         DispatchRule.Verdict verdict = DispatchRule.judge(
-                a.owner, a.number, clock.now(), config.settings().limits().maxAttempts(), over);
+                a.owner, a.number, clock.now(), config.settings().limits().maxAttempts(), drainExpired);
         if (verdict == DispatchRule.Verdict.ALLOWED) {
             return true;
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientLeft(a.owner); // ends all attempts that have not begun
+            clientDisconnected(a.owner); // ends all attempts that have not begun
         }
         if (!a.ended) {
             a.abandon();
@@ -707,7 +707,7 @@
 
     /** Checks at run time what {@link #maySend} has decided: no byte leaves for a request that has ended. */
     void leaves(Attempt a) {
-        if (a.ended || a.owner.closed() || over) {
+        if (a.ended || a.owner.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
             log("defect: request " + a.owner.traceId + " sent to " + a.host + " after its end");
         }
@@ -803,12 +803,12 @@
                 () -> stopAccepting(latest),
                 Drain.MIN_ACCEPT_MS + POLL_MS,
                 TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
-        loop.schedule(this::answerAll, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
+        loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
 
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
-    void answerAll() {
-        over = true;
+    void endOpenRequests() {
+        drainExpired = true;
         for (OpenRequest r : List.copyOf(open.values())) {
             endAttempts(r); // the module refuses or fails it, as its further attempts are void now
         }
@@ -823,8 +823,8 @@
         clients.closeAll();
     }
 
-    boolean over() {
-        return over;
+    boolean drainExpired() {
+        return drainExpired;
     }
 
     /**
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -50,21 +50,21 @@
 
     void finish() {
         if (markFinished()) {
-            client.finishResponse(f -> node.transferred(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
+            client.finishResponse(f -> node.transferEnded(requestClass, f.isSuccess() ? Metrics.Result.SUCCESS : null));
         }
     }
 
     /** The host failed: the client must see that its answer is not whole. */
     void abort() {
         if (markFinished()) {
-            node.transferred(requestClass, Metrics.Result.ERROR);
+            node.transferEnded(requestClass, Metrics.Result.ERROR);
             client.reset();
         }
     }
 
     void clientLeft() {
         if (markFinished()) {
-            node.transferred(requestClass, null);
+            node.transferEnded(requestClass, null);
             source.abandon();
         }
     }
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -88,7 +88,7 @@
         Client last = client(node); // what came before is known to have been read once this one is answered
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(502, out.receive().status());
         assertEquals(503, body.receive().status());
         for (Client c : new Client[] {half, fresh, last, out}) {
@@ -130,7 +130,7 @@
                     known.send(viewRequest(
                             "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                     return null;
                 })
                 .sync();
@@ -157,7 +157,7 @@
         node.loop
                 .submit(() -> {
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                 })
                 .sync();
         for (int i = 0; i < count; i++) {
@@ -172,7 +172,7 @@
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(503, held.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
