--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -33,7 +33,7 @@
 
     @Override
     void leaves() {
-        node.leaves(this);
+        node.checkBeforeWrite(this);
     }
 
     @Override
@@ -43,6 +43,6 @@
 
     @Override
     ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
-        return node.answerBegun(this, head, source);
+        return node.responseStarted(this, head, source);
     }
 }
--- a/src/main/java/deckfall/net/CounterClient.java
+++ b/src/main/java/deckfall/net/CounterClient.java
@@ -44,7 +44,7 @@
         void end(Outcome outcome, double total) {
             if (!ended) {
                 ended = true;
-                node.counted(counter, outcome, total);
+                node.counterCallEnded(counter, outcome, total);
             }
         }
     }
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -103,7 +103,7 @@
                 });
         b.connect(address).addListener(f -> {
             if (!f.isSuccess()) {
-                node.onLoop(this::again);
+                node.runOnLoop(this::again);
             }
         });
     }
@@ -126,7 +126,7 @@
     private void again() {
         connectIn(timing.failedMs());
         if (timing.lost()) {
-            node.discoveryLost();
+            node.discoveryUnreachable();
         }
     }
 
@@ -188,7 +188,7 @@
                 ctx.close();
             }
             if (!behind && (whole || !entries.isEmpty())) {
-                node.hostsTold(whole ? HostListKind.FULL : HostListKind.CHANGES, entries);
+                node.hostListReceived(whole ? HostListKind.FULL : HostListKind.CHANGES, entries);
             }
             if (!behind) {
                 listed.countDown();
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -324,7 +324,7 @@
             void ended(Outcome outcome, FullHttpResponse response) {
                 if (!over) {
                     over = true;
-                    node.probed(
+                    node.probeEnded(
                             host,
                             outcome,
                             node.clock.now() - sentAt,
@@ -411,7 +411,7 @@
                     }
                 })
                 .connect(pool.address);
-        connecting.addListener(f -> node.onLoop(() -> {
+        connecting.addListener(f -> node.runOnLoop(() -> {
             pool.rising.remove(c);
             if (!f.isSuccess()) { // also where no descriptor was left: then there is no channel to close
                 connections--;
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -74,7 +74,7 @@
     private final ClientServer clients;
     private final HostClient hosts;
     private final Discovery discovery;
-    private final PeerLink peers;
+    private final PeerLink peerLink;
     private final CounterClient counter;
     private final Drain drain;
     private final CountDownLatch drained = new CountDownLatch(1);
@@ -109,7 +109,7 @@
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
         this.discovery = new Discovery(this);
-        this.peers = new PeerLink(this);
+        this.peerLink = new PeerLink(this);
         this.counter = new CounterClient(this);
         this.drain = new Drain(loop, clock, clients);
     }
@@ -119,7 +119,7 @@
         ReloadSignal reloadSignal = ReloadSignal.heard();
         AtomicReference<Node> started = new AtomicReference<>();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> end(started.get())));
-        plainLogs();
+        configureLogging();
         StartTimes times = new StartTimes(new Clock());
         try {
             NodeConfig config = config(configFile);
@@ -199,7 +199,7 @@
      * Where discovery can't be had it may have moved while nobody heard the signal, as in a start that had read the
      * file before it was replaced.
      */
-    void discoveryLost() {
+    void discoveryUnreachable() {
         if (reloader != null) {
             log("discovery can't be had");
             reload();
@@ -218,9 +218,9 @@
             loop.submit(() -> {
                         tell((now, m) -> m.start(now, config.settings()));
                         tell((now, m) -> m.restoreCustomers(now, recalled));
-                        peers.start();
+                        peerLink.start();
                         if (config.knownList().hasNonNull(Discovery.LIST)) {
-                            hostsTold(HostListKind.CACHED, Discovery.entries(config.knownList()));
+                            hostListReceived(HostListKind.CACHED, Discovery.entries(config.knownList()));
                         }
                         discovery.start();
                         counter.start();
@@ -254,7 +254,7 @@
      * One plain line for each thing that netty warns of. The system's own handler reads the time zones' file for
      * its first line, and where that line says that no descriptor is left, this would end the event loop.
      */
-    static void plainLogs() {
+    static void configureLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Logger root = Logger.getLogger("");
         for (Handler h : root.getHandlers()) {
@@ -275,7 +275,7 @@
     }
 
     /** Netty tells elsewhere of a connect for which no descriptor was left; nothing here may run there. */
-    void onLoop(Runnable action) {
+    void runOnLoop(Runnable action) {
         if (loop.inEventLoop()) {
             action.run();
         } else {
@@ -613,7 +613,7 @@
      * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
      * where no client waits for it. The request counts as open until the transfer ends.
      */
-    ResponseTransfer answerBegun(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
+    ResponseTransfer responseStarted(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
         if (a.ended) {
             return null;
         }
@@ -645,7 +645,7 @@
         }
     }
 
-    void hostsTold(HostListKind kind, List<Discovery.Entry> entries) {
+    void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
         Runnable turnBack = hosts.listed(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
@@ -653,16 +653,16 @@
         turnBack.run();
     }
 
-    void probed(String host, Outcome outcome, double took, double[] report) {
+    void probeEnded(String host, Outcome outcome, double took, double[] report) {
         tell((now, m) -> m.probeEnded(now, host, outcome, took, report));
     }
 
-    void counted(String name, Outcome outcome, double total) {
+    void counterCallEnded(String name, Outcome outcome, double total) {
         tally.addCounterCall(outcome);
         tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
-    void peerSaid(int peer, byte[] data) {
+    void peerMessageReceived(int peer, byte[] data) {
         tell((now, m) -> m.peerMessageReceived(now, peer, data));
     }
 
@@ -706,7 +706,7 @@
     }
 
     /** Checks at run time what {@link #maySend} has decided: no byte leaves for a request that has ended. */
-    void leaves(Attempt a) {
+    void checkBeforeWrite(Attempt a) {
         if (a.ended || a.owner.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
             log("defect: request " + a.owner.traceId + " sent to " + a.host + " after its end");
@@ -760,7 +760,7 @@
 
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
-        peers.send(peer, data);
+        peerLink.send(peer, data);
     }
 
     @Override
@@ -856,8 +856,8 @@
         return drained.await(ms, TimeUnit.MILLISECONDS);
     }
 
-    PeerLink peers() {
-        return peers;
+    PeerLink peerLink() {
+        return peerLink;
     }
 
     /** The port of the listener, where the configuration left it to the system; 0 before clients are let in. */
--- a/src/main/java/deckfall/net/PeerLink.java
+++ b/src/main/java/deckfall/net/PeerLink.java
@@ -96,7 +96,7 @@
         Integer peer = numbers.get(packet.sender());
         int length = packet.content().readableBytes();
         if (peer != null && length > 0 && length <= MAX_BYTES) {
-            node.peerSaid(peer, ByteBufUtil.getBytes(packet.content()));
+            node.peerMessageReceived(peer, ByteBufUtil.getBytes(packet.content()));
         }
     }
 
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -48,7 +48,7 @@
 
     /** For the build: returns when all has been gone through. */
     public static void run() throws IOException {
-        Node.plainLogs();
+        Node.configureLogging();
         InetSocketAddress at = freePort(InetAddress.getLoopbackAddress());
         String address = at.getAddress().getHostAddress() + ':' + at.getPort();
         play(NodeConfig.of(new ObjectMapper().readTree(CONFIG.formatted(address))), WARM_MS);
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -43,7 +43,7 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
             Node node = node(registry, port, peer);
-            node.loop.submit(() -> node.peers().channel().close()).sync();
+            node.loop.submit(() -> node.peerLink().channel().close()).sync();
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             Integer size = null;
             for (int i = 0; i < TRIES && size == null; i++) { // what comes to a closed port is lost
