--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -22,27 +22,27 @@
     }
 
     @Override
-    void ended(Outcome outcome, FullHttpResponse response) {
+    void onEnd(Outcome outcome, FullHttpResponse response) {
         node.attemptEnded(this, outcome, response);
     }
 
     @Override
-    boolean mayLeave() {
+    boolean maySend() {
         return node.maySend(this);
     }
 
     @Override
-    void leaves() {
+    void beforeWrite() {
         node.checkBeforeWrite(this);
     }
 
     @Override
-    IncomingRequest upload() {
+    IncomingRequest requestBody() {
         return owner.message;
     }
 
     @Override
-    ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
+    ResponseTransfer started(HttpResponse head, ResponseTransfer.Source source) {
         return node.responseStarted(this, head, source);
     }
 }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -110,39 +110,39 @@
     /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
     abstract static class Exchange {
         private Connection connection;
-        private boolean begun;
+        private boolean started;
 
         /** Whether something of it may have left: until then it waits for a connection to come up. */
-        final boolean begun() {
-            return begun;
+        final boolean started() {
+            return started;
         }
 
         /** Whether it may still leave, asked in the turn in which its first byte would; if not, it has ended. */
-        boolean mayLeave() {
+        boolean maySend() {
             return true;
         }
 
         /** Its first byte leaves in this turn. */
-        void leaves() {}
+        void beforeWrite() {}
 
         /** Its host takes nothing new any more, and it had to wait for a connection there. */
-        private void turnBack() {
-            if (connection != null && !begun) {
+        private void rejectIfWaiting() {
+            if (connection != null && !started) {
                 abandon();
-                ended(Outcome.FULL, null);
+                onEnd(Outcome.FULL, null);
             }
         }
 
         /** How it ended; the response, where there is one, is only lent. */
-        abstract void ended(Outcome outcome, FullHttpResponse response);
+        abstract void onEnd(Outcome outcome, FullHttpResponse response);
 
         /** Whose body is passed on, where the message is a head alone. */
-        IncomingRequest upload() {
+        IncomingRequest requestBody() {
             return null;
         }
 
         /** An answer too long to be kept has begun; null where nobody waits for such a one. */
-        ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
+        ResponseTransfer started(HttpResponse head, ResponseTransfer.Source source) {
             return null;
         }
 
@@ -196,7 +196,7 @@
      * former life of a host, would be sent by the time that it comes up: the caller turns it back, once the module
      * knows the list too.
      */
-    Runnable listed(HostListKind kind, List<Discovery.Entry> entries) {
+    Runnable updateHosts(HostListKind kind, List<Discovery.Entry> entries) {
         List<Exchange> stranded = new ArrayList<>();
         Set<String> named = new HashSet<>();
         for (Discovery.Entry e : entries) {
@@ -225,7 +225,7 @@
                 return absent;
             });
         }
-        return () -> stranded.forEach(Exchange::turnBack);
+        return () -> stranded.forEach(Exchange::rejectIfWaiting);
     }
 
     /** From any thread: how many connections to hosts are open or come up. */
@@ -239,7 +239,7 @@
     }
 
     /** How many hosts the list names. */
-    int listed() {
+    int updateHosts() {
         return pools.size();
     }
 
@@ -321,7 +321,7 @@
             private boolean over;
 
             @Override
-            void ended(Outcome outcome, FullHttpResponse response) {
+            void onEnd(Outcome outcome, FullHttpResponse response) {
                 if (!over) {
                     over = true;
                     node.probeEnded(
@@ -344,7 +344,7 @@
                 () -> {
                     if (probe.connection != null) {
                         probe.abandon();
-                        probe.ended(Outcome.TIMEOUT, null);
+                        probe.onEnd(Outcome.TIMEOUT, null);
                     }
                 },
                 (long) PROBE_TIMEOUT_MS,
@@ -354,7 +354,7 @@
     private void start(String host, Exchange x, Message message) {
         Pool pool = pools.get(host);
         if (pool == null) {
-            x.ended(Outcome.CONNECT_FAILED, null); // its address was taken from the list
+            x.onEnd(Outcome.CONNECT_FAILED, null); // its address was taken from the list
             return;
         }
         Connection kept = takeIdle(pool);
@@ -363,7 +363,7 @@
             return;
         }
         if (!room()) {
-            x.ended(Outcome.CONNECT_FAILED, null);
+            x.onEnd(Outcome.CONNECT_FAILED, null);
             return;
         }
         connect(pool, x, message);
@@ -419,7 +419,7 @@
                 return;
             }
             connecting.channel().closeFuture().addListener(closed -> connections--);
-            if (c.exchange == x && x.mayLeave()) {
+            if (c.exchange == x && x.maySend()) {
                 c.write(x, message.build());
             }
         }));
@@ -451,15 +451,15 @@
         void write(Exchange x, HttpRequest message) {
             exchange = x;
             x.connection = this;
-            x.begun = true;
-            x.leaves();
+            x.started = true;
+            x.beforeWrite();
             written = false;
             wroteAt = node.clock.now();
             if (message instanceof FullHttpRequest) {
                 channel.writeAndFlush(message).addListener(f -> wrote(x, f.isSuccess()));
             } else {
                 channel.write(message, channel.voidPromise());
-                upload = x.upload();
+                upload = x.requestBody();
                 upload.streamTo(this);
             }
         }
@@ -535,7 +535,7 @@
             stopUpload();
             if (x != null) {
                 x.connection = null;
-                x.ended(outcome, response);
+                x.onEnd(outcome, response);
             }
         }
 
@@ -641,7 +641,7 @@
         /** Begins to pass the answer on, if it is one that a client waits for. */
         private boolean passOn() {
             boolean good = written && outcome(head) == Outcome.OK;
-            transfer = good ? exchange.begun(head, this) : null;
+            transfer = good ? exchange.started(head, this) : null;
             if (transfer == null) {
                 return false;
             }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -407,7 +407,7 @@
     }
 
     private void countHosts() {
-        metrics.targets(hosts.listed(), module.avoidedHostCount(clock.now()));
+        metrics.targets(hosts.updateHosts(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -544,14 +544,14 @@
     private void giveUp(Attempt a, Outcome begun) {
         if (!a.ended) {
             a.abandon();
-            attemptEnded(a, a.begun() ? begun : Outcome.CONNECT_FAILED, null);
+            attemptEnded(a, a.started() ? begun : Outcome.CONNECT_FAILED, null);
         }
     }
 
     /** Nobody waits for it any more: it must not leave when its connection comes up, may it be cancelled or not. */
     private void withdrawUnsent(OpenRequest r) {
         for (Attempt a : List.copyOf(r.attempts)) {
-            if (!a.ended && !a.begun()) {
+            if (!a.ended && !a.started()) {
                 a.abandon();
                 attemptEnded(a, Outcome.MOOT, null);
             }
@@ -646,7 +646,7 @@
     }
 
     void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
-        Runnable turnBack = hosts.listed(kind, entries);
+        Runnable turnBack = hosts.updateHosts(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
         tell((now, m) -> m.hostsUpdated(now, kind, list));
