--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -120,27 +120,27 @@
         AtomicReference<Node> started = new AtomicReference<>();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> end(started.get())));
         configureLogging();
-        StartTimes times = new StartTimes(new Clock());
+        StartupTimes times = new StartupTimes(new Clock());
         try {
             NodeConfig config = config(configFile);
-            times.ended("configuration");
+            times.phaseEnded("configuration");
             ServerSocketChannel inherited = InheritedListener.fromEnvironment();
-            Node node = StartStep.retried("no event loop", () -> new Node(config));
+            Node node = StartupRetry.withRetries("no event loop", () -> new Node(config));
             node.configuredBy(Path.of(configFile));
             if (config.operator() != null) { // it says no until clients are taken
-                StartStep.retried("no operator address", () -> operator(config, node));
+                StartupRetry.withRetries("no operator address", () -> operator(config, node));
             }
             if (inherited != null && System.getenv("TMPDIR") != null) {
                 node.watchSiblings(Path.of(System.getenv("TMPDIR")));
             }
-            times.ended("operator and siblings");
+            times.phaseEnded("operator and siblings");
             int rehearsed = WarmUp.warmUp(config, inherited == null && config.wasInService());
-            times.ended("warm-up");
+            times.phaseEnded("warm-up");
             node.recall();
             started.set(node);
             node.start(inherited, times);
             log("serving on " + config.listen() + " after " + rehearsed + " rehearsed requests");
-            log(times.line());
+            log(times.summary());
             node.serving = true;
             reloadSignal.actsBy(node::reload);
         } catch (NodeConfig.InvalidConfigException | IOException | RuntimeException e) {
@@ -172,7 +172,7 @@
             if (!e.isTransient()) {
                 throw e;
             }
-            return StartStep.retried("no configuration", () -> NodeConfig.read(file));
+            return StartupRetry.withRetries("no configuration", () -> NodeConfig.read(file));
         }
     }
 
@@ -208,12 +208,12 @@
 
     /** Returns once clients are served at the configured address. */
     void start() throws IOException {
-        start(null, new StartTimes(clock));
+        start(null, new StartupTimes(clock));
         serving = true;
     }
 
     /** Returns once clients are let in, at the inherited listener if there is one. */
-    private void start(ServerSocketChannel inherited, StartTimes times) throws IOException {
+    private void start(ServerSocketChannel inherited, StartupTimes times) throws IOException {
         try {
             loop.submit(() -> {
                         tell((now, m) -> m.start(now, config.settings()));
@@ -229,15 +229,15 @@
                         loop.scheduleAtFixedRate(this::countHosts, SURVEY_MS, SURVEY_MS, TimeUnit.MILLISECONDS);
                     })
                     .sync();
-            times.ended("module and known list"); // the counter is called, and not waited for
+            times.phaseEnded("module and known list"); // the counter is called, and not waited for
             if (!warmingUp) { // a rehearsal's discovery is the node itself
                 discovery.awaitList();
             }
-            times.ended("discovery");
-            StartStep.retried(
+            times.phaseEnded("discovery");
+            StartupRetry.withRetries(
                     "no listener",
                     () -> loop.submit(() -> listen(inherited)).sync().getNow().sync());
-            times.ended("listener");
+            times.phaseEnded("listener");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
