--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -49,7 +49,7 @@
 
     /** A host with the address at which this api gateway reaches it. */
     record Entry(Host host, InetSocketAddress address) {
-        Entry in(HostState state) {
+        Entry withState(HostState state) {
             return new Entry(
                     new Host(host.id(), host.zone(), host.kind(), host.cell(), state, host.rating(), host.startedMs()),
                     address);
@@ -65,7 +65,7 @@
     private boolean failing;
     private long version; // -1: the whole list is still to come
     private boolean behind = true; // what has changed since that version is still to come
-    private final Leaving leaving = new Leaving();
+    private final StaleListFilter leaving = new StaleListFilter();
     private final CountDownLatch listed = new CountDownLatch(1);
 
     Discovery(Node node) {
@@ -170,7 +170,7 @@
             }
             boolean whole = whole(list);
             long told = version(list);
-            List<Entry> entries = leaving.heard(told, whole, entries(list));
+            List<Entry> entries = leaving.filter(told, whole, entries(list));
             failing = false;
             timing.answered();
             behind = !whole && told < version; // versions are counted anew: changes since say nothing
--- /dev/null
+++ b/src/main/java/deckfall/net/StaleListFilter.java
@@ -0,0 +1,60 @@
+package deckfall.net;
+
+import deckfall.Gateway.HostState;
+import deckfall.net.Discovery.Entry;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Hosts that were told to drain or to be gone. A list of an older version, as of an agent that has fallen behind, can't
+ * take that back: whoever drains in one life of its process is not ready again before the next one.
+ */
+final class StaleListFilter {
+    private static final int MAX_HOSTS = 4096;
+
+    private record Tombstone(HostState state, double startedMs) {}
+
+    private final Map<String, Double> latestStartMs = bounded();
+    private final Map<String, Tombstone> tombstones = bounded();
+    private long newestVersion = Long.MIN_VALUE;
+
+    /** The entries of a list as they may be believed. */
+    List<Entry> filter(long version, boolean full, List<Entry> entries) {
+        boolean older = version < newestVersion;
+        if (full && !older) { // whoever it does not name is gone
+            latestStartMs.forEach((id, started) -> tombstones.put(id, new Tombstone(HostState.GONE, started)));
+        }
+        newestVersion = Math.max(newestVersion, version);
+        List<Entry> filtered = new ArrayList<>(entries.size());
+        for (Entry entry : entries) {
+            String id = entry.host().id();
+            Tombstone tombstone = tombstones.get(id);
+            boolean stale = older
+                    && tombstone != null
+                    && entry.host().startedMs() <= tombstone.startedMs()
+                    && entry.host().state().compareTo(tombstone.state()) < 0;
+            HostState state = stale ? tombstone.state() : entry.host().state();
+            filtered.add(stale ? entry.withState(state) : entry);
+            latestStartMs.merge(id, entry.host().startedMs(), Math::max);
+            if (state == HostState.RUNNING) {
+                tombstones.remove(id);
+            } else {
+                tombstones.put(id, new Tombstone(state, latestStartMs.get(id)));
+            }
+        }
+        return filtered;
+    }
+
+    private static <V> Map<String, V> bounded() {
+        return new LinkedHashMap<>() {
+            private static final long serialVersionUID = 1L;
+
+            @Override
+            protected boolean removeEldestEntry(Map.Entry<String, V> eldest) {
+                return size() > MAX_HOSTS;
+            }
+        };
+    }
+}
