--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -325,9 +325,9 @@
     /** Other processes that serve as this gateway are told of this one from here on, by files in a folder. */
     SiblingWatch watchSiblings(Path folder) {
         SiblingFiles files = new SiblingFiles(folder, ProcessHandle.current().pid());
-        siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.Gateway() {
+        siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.LocalProcess() {
             @Override
-            public boolean takesClients() {
+            public boolean acceptsClients() {
                 return serving && !ending;
             }
 
@@ -342,18 +342,19 @@
             }
 
             @Override
-            public List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException {
+            public List<CustomerSnapshot> snapshotCustomers()
+                    throws InterruptedException, ExecutionException, TimeoutException {
                 return loop.submit(() -> module.snapshotCustomers(clock.now()))
-                        .get(SiblingWatch.MEMORY_MS, TimeUnit.MILLISECONDS);
+                        .get(SiblingWatch.SNAPSHOT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
 
             @Override
-            public void siblings(SiblingWatch.SiblingCounts seen) {
+            public void onSiblings(SiblingWatch.SiblingCounts seen) {
                 loop.execute(() -> siblingsChanged(seen));
             }
 
             @Override
-            public void told(SiblingWatch.SiblingCounts own) {
+            public void onPublished(SiblingWatch.SiblingCounts own) {
                 loop.execute(() -> lastPublished = own);
             }
         });
@@ -401,7 +402,7 @@
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
     private void recall() {
         if (siblingWatch != null) {
-            recalled = siblingWatch.memoryOfOther();
+            recalled = siblingWatch.customersOfServingSibling();
             log("recalled " + recalled.size() + " customers of another process");
         }
     }
--- a/src/main/java/deckfall/net/SiblingFiles.java
+++ b/src/main/java/deckfall/net/SiblingFiles.java
@@ -18,18 +18,18 @@
  */
 final class SiblingFiles {
     static final long HEARTBEAT_MS = 400;
-    private static final double FRESH_MS = 1500; // a process short of its share of a core writes late
-    private static final double SILENT_MS = 30_000; // the longest that a process which lives may write nothing
+    private static final double FRESH_WINDOW_MS = 1500; // a process short of its share of a core writes late
+    private static final double MAX_SILENCE_MS = 30_000; // the longest that a process which lives may write nothing
     private static final String PREFIX = "gateway-";
     private static final String SUFFIX = ".json";
 
     /** A process and its connections as its file tells, at a time of the machine's clock; {@code memory} is empty while nobody is to take over. */
-    record Note(long pid, double atMs, boolean serving, int clients, int hosts, List<CustomerSnapshot> memory) {}
+    record Status(long pid, double atMs, boolean serving, int clients, int hosts, List<CustomerSnapshot> memory) {}
 
     private final Path folder;
     private final long pid;
     private final ObjectMapper json = new ObjectMapper();
-    private Map<Path, Note> lastRead = Map.of();
+    private Map<Path, Status> lastRead = Map.of();
 
     SiblingFiles(Path folder, long pid) {
         this.folder = folder;
@@ -37,51 +37,53 @@
     }
 
     /** Replaces this process's file at once, so that a reader finds it whole. */
-    void write(Note note) throws IOException {
-        Path part = folder.resolve(PREFIX + pid + ".part");
-        Files.write(part, json.writeValueAsBytes(note));
-        Files.move(part, file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    void write(Status status) throws IOException {
+        Path partFile = folder.resolve(PREFIX + pid + ".part");
+        Files.write(partFile, json.writeValueAsBytes(status));
+        Files.move(partFile, file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** The other processes that are there now, by files that were read just now or, where that fails, before. */
-    List<Note> others(double now) {
+    List<Status> presentSiblings(double now) {
         try {
-            list();
+            readAll();
         } catch (IOException | RuntimeException e) {
             Node.log("no word of other processes: " + e);
         }
-        return lastRead.values().stream().filter(note -> present(note, now)).toList();
+        return lastRead.values().stream()
+                .filter(status -> isPresent(status, now))
+                .toList();
     }
 
-    private void list() throws IOException {
-        Map<Path, Note> read = new LinkedHashMap<>();
+    private void readAll() throws IOException {
+        Map<Path, Status> statuses = new LinkedHashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
             for (Path file : files) {
-                Note note = file.equals(file()) ? null : read(file);
-                if (note != null) {
-                    read.put(file, note);
+                Status status = file.equals(file()) ? null : read(file);
+                if (status != null) {
+                    statuses.put(file, status);
                 }
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        lastRead = read;
+        lastRead = statuses;
     }
 
     /** A process that lives and has not told of itself for a while may have a full disk. */
-    private static boolean present(Note note, double now) {
-        double age = Math.abs(now - note.atMs());
-        return age < FRESH_MS
-                || age < SILENT_MS
-                        && ProcessHandle.of(note.pid())
+    private static boolean isPresent(Status status, double now) {
+        double age = Math.abs(now - status.atMs());
+        return age < FRESH_WINDOW_MS
+                || age < MAX_SILENCE_MS
+                        && ProcessHandle.of(status.pid())
                                 .map(ProcessHandle::isAlive)
                                 .orElse(false);
     }
 
-    private Note read(Path file) {
+    private Status read(Path file) {
         try {
-            Note note = json.readValue(file.toFile(), Note.class);
-            return note == null || note.memory() == null ? null : note;
+            Status status = json.readValue(file.toFile(), Status.class);
+            return status == null || status.memory() == null ? null : status;
         } catch (IOException e) {
             return Files.exists(file) ? lastRead.get(file) : null; // damaged or unreadable, else gone meanwhile
         }
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -15,7 +15,7 @@
  * are of the machine's monotonic clock, which all its processes share and no step of the wall clock moves.
  */
 final class SiblingWatch {
-    static final long MEMORY_MS = 1000; // that the event loop may take to hand its memory over
+    static final long SNAPSHOT_TIMEOUT_MS = 1000; // that the event loop may take to hand its memory over
     private static final double NANOS_PER_MS = 1e6;
 
     /** How many processes there are, how many of them serve, and the connections that they hold together. */
@@ -24,32 +24,32 @@
     }
 
     /** This process. */
-    interface Gateway {
-        boolean takesClients();
+    interface LocalProcess {
+        boolean acceptsClients();
 
         int clientConnections();
 
         int hostConnections();
 
         /** What another process is to start from. */
-        List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException;
+        List<CustomerSnapshot> snapshotCustomers() throws InterruptedException, ExecutionException, TimeoutException;
 
         /** Called from the watch's thread. */
-        void siblings(SiblingCounts seen);
+        void onSiblings(SiblingCounts seen);
 
         /** What the other processes can know of this one from now on; called from the watch's thread. */
-        void told(SiblingCounts own);
+        void onPublished(SiblingCounts own);
     }
 
     private final SiblingFiles files;
     private final Clock clock;
-    private final Gateway gateway;
-    private boolean failing; // one line in the log for a spell of failures
+    private final LocalProcess localProcess;
+    private boolean failureLogged; // one line in the log for a spell of failures
 
-    SiblingWatch(SiblingFiles files, Clock clock, Gateway gateway) {
+    SiblingWatch(SiblingFiles files, Clock clock, LocalProcess localProcess) {
         this.files = files;
         this.clock = clock;
-        this.gateway = gateway;
+        this.localProcess = localProcess;
     }
 
     static double monotonicMs() {
@@ -62,65 +62,67 @@
             t.setDaemon(true);
             return t;
         });
-        executor.scheduleWithFixedDelay(this::look, 0, SiblingFiles.HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(this::poll, 0, SiblingFiles.HEARTBEAT_MS, TimeUnit.MILLISECONDS);
     }
 
-    void look() {
+    void poll() {
         try {
-            exchange();
-            failing = false;
+            pollAndPublish();
+            failureLogged = false;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException
                 | ExecutionException
                 | TimeoutException
                 | RuntimeException e) { // else no look would follow
-            if (!failing) {
+            if (!failureLogged) {
                 Node.log("siblings: not told of this process, tried again: " + e);
             }
-            failing = true;
+            failureLogged = true;
         }
     }
 
-    private void exchange() throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        List<SiblingFiles.Note> others = files.others(monotonicMs());
-        int serving = (int) others.stream().filter(SiblingFiles.Note::serving).count();
-        int clients = others.stream().mapToInt(SiblingFiles.Note::clients).sum();
-        int hosts = others.stream().mapToInt(SiblingFiles.Note::hosts).sum();
-        gateway.siblings(new SiblingCounts(others.size(), serving, clients, hosts)); // first, as the folder may be full
-        boolean takes = gateway.takesClients();
-        boolean asked = takes && serving < others.size(); // by one that starts
-        int clientsNow = gateway.clientConnections();
-        int hostsNow = gateway.hostConnections();
-        files.write(new SiblingFiles.Note(
+    private void pollAndPublish() throws IOException, InterruptedException, ExecutionException, TimeoutException {
+        List<SiblingFiles.Status> siblings = files.presentSiblings(monotonicMs());
+        int serving =
+                (int) siblings.stream().filter(SiblingFiles.Status::serving).count();
+        int clients = siblings.stream().mapToInt(SiblingFiles.Status::clients).sum();
+        int hosts = siblings.stream().mapToInt(SiblingFiles.Status::hosts).sum();
+        localProcess.onSiblings(
+                new SiblingCounts(siblings.size(), serving, clients, hosts)); // first, as the folder may be full
+        boolean acceptsClients = localProcess.acceptsClients();
+        boolean snapshotRequested = acceptsClients && serving < siblings.size(); // by one that starts
+        int ownClients = localProcess.clientConnections();
+        int ownHosts = localProcess.hostConnections();
+        files.write(new SiblingFiles.Status(
                 ProcessHandle.current().pid(),
                 monotonicMs(),
-                takes,
-                clientsNow,
-                hostsNow,
-                asked ? inMonotonicTime(gateway.memory()) : List.of()));
-        gateway.told(new SiblingCounts(1, takes ? 1 : 0, clientsNow, hostsNow));
+                acceptsClients,
+                ownClients,
+                ownHosts,
+                snapshotRequested ? inMonotonicTime(localProcess.snapshotCustomers()) : List.of()));
+        localProcess.onPublished(new SiblingCounts(1, acceptsClients ? 1 : 0, ownClients, ownHosts));
     }
 
     /** What a process that serves now remembers, for one that starts; empty where there is none. */
-    List<CustomerSnapshot> memoryOfOther() {
-        return files.others(monotonicMs()).stream()
-                .filter(SiblingFiles.Note::serving)
+    List<CustomerSnapshot> customersOfServingSibling() {
+        return files.presentSiblings(monotonicMs()).stream()
+                .filter(SiblingFiles.Status::serving)
                 .findFirst()
-                .map(note -> inClockTime(note.memory()))
+                .map(status -> inClockTime(status.memory()))
                 .orElse(List.of());
     }
 
-    private List<CustomerSnapshot> inMonotonicTime(List<CustomerSnapshot> memory) {
-        return shifted(memory, monotonicMs() - clock.now());
+    private List<CustomerSnapshot> inMonotonicTime(List<CustomerSnapshot> customers) {
+        return shifted(customers, monotonicMs() - clock.now());
     }
 
-    private List<CustomerSnapshot> inClockTime(List<CustomerSnapshot> memory) {
-        return shifted(memory, clock.now() - monotonicMs());
+    private List<CustomerSnapshot> inClockTime(List<CustomerSnapshot> customers) {
+        return shifted(customers, clock.now() - monotonicMs());
     }
 
-    private static List<CustomerSnapshot> shifted(List<CustomerSnapshot> memory, double laterMs) {
-        return memory.stream().map(r -> r.shifted(laterMs)).toList();
+    private static List<CustomerSnapshot> shifted(List<CustomerSnapshot> customers, double laterMs) {
+        return customers.stream().map(r -> r.shifted(laterMs)).toList();
     }
 
     void stop() {
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -60,8 +60,8 @@
         Path folder = Files.createTempDirectory("rehearsal");
         SiblingFiles one = new SiblingFiles(folder, 1);
         CustomerSnapshot customer = new CustomerSnapshot(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-        one.write(new SiblingFiles.Note(1, 0, true, 0, 0, List.of(customer)));
-        new SiblingFiles(folder, 2).others(0);
+        one.write(new SiblingFiles.Status(1, 0, true, 0, 0, List.of(customer)));
+        new SiblingFiles(folder, 2).presentSiblings(0);
         one.remove();
         Files.delete(folder);
     }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -674,10 +674,10 @@
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
-        SiblingFiles.Note crowded = new SiblingFiles.Note(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
+        SiblingFiles.Status crowded = new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
         new SiblingFiles(folder, 1).write(crowded);
         SiblingWatch watch = node.watchSiblings(folder);
-        watch.look();
+        watch.poll();
         node.loop
                 .submit(() -> assertEquals(share, node.siblings().clientConnections()))
                 .sync();
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -20,13 +20,13 @@
     private Path folder;
 
     private final List<SiblingCounts> seen = new ArrayList<>();
-    private boolean fails;
+    private boolean failing;
 
     /** A process with a memory of one customer, of the times {@code atMs} on its own clock. */
-    private SiblingWatch.Gateway gateway(double atMs) {
-        return new SiblingWatch.Gateway() {
+    private SiblingWatch.LocalProcess localProcess(double atMs) {
+        return new SiblingWatch.LocalProcess() {
             @Override
-            public boolean takesClients() {
+            public boolean acceptsClients() {
                 return true;
             }
 
@@ -41,47 +41,47 @@
             }
 
             @Override
-            public List<CustomerSnapshot> memory() {
+            public List<CustomerSnapshot> snapshotCustomers() {
                 return List.of(new CustomerSnapshot(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, atMs, 17, atMs));
             }
 
             @Override
-            public void siblings(SiblingCounts all) {
-                if (fails) {
+            public void onSiblings(SiblingCounts all) {
+                if (failing) {
                     throw new IllegalStateException("made up by the test");
                 }
                 seen.add(all);
             }
 
             @Override
-            public void told(SiblingCounts own) {
+            public void onPublished(SiblingCounts own) {
                 assertEquals(new SiblingCounts(1, 1, 3, 4), own);
             }
         };
     }
 
-    private static SiblingFiles.Note note(boolean serving) {
-        return new SiblingFiles.Note(OTHER_PID, SiblingWatch.monotonicMs(), serving, 5, 6, List.of());
+    private static SiblingFiles.Status status(boolean serving) {
+        return new SiblingFiles.Status(OTHER_PID, SiblingWatch.monotonicMs(), serving, 5, 6, List.of());
     }
 
     /** The thread ended with the first unchecked exception, and no other process was told of this one again. */
     @Test
     void aLookThatFailsIsFollowedByOthers() throws IOException {
-        SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), gateway(0));
-        fails = true;
-        watch.look();
-        fails = false;
-        new SiblingFiles(folder, OTHER_PID).write(note(true));
-        watch.look();
+        SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0));
+        failing = true;
+        watch.poll();
+        failing = false;
+        new SiblingFiles(folder, OTHER_PID).write(status(true));
+        watch.poll();
         assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
     /** A folder in which nothing can be written still tells of the other process. */
     @Test
     void theOtherProcessIsSeenWhereThisOneCanNotWrite() throws IOException {
-        new SiblingFiles(folder, OTHER_PID).write(note(true));
+        new SiblingFiles(folder, OTHER_PID).write(status(true));
         Files.createDirectory(folder.resolve("gateway-2.part"));
-        new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), gateway(0)).look();
+        new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0)).poll();
         assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
@@ -93,12 +93,12 @@
         before.frozen = true;
         after.frozen = true;
         after.offsetMs = 3_600_000;
-        new SiblingFiles(folder, OTHER_PID).write(note(false)); // one that starts
-        new SiblingWatch(new SiblingFiles(folder, 2), before, gateway(before.now() - 100)).look();
-        CustomerSnapshot heard = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, gateway(0))
-                .memoryOfOther()
+        new SiblingFiles(folder, OTHER_PID).write(status(false)); // one that starts
+        new SiblingWatch(new SiblingFiles(folder, 2), before, localProcess(before.now() - 100)).poll();
+        CustomerSnapshot received = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, localProcess(0))
+                .customersOfServingSibling()
                 .get(0);
-        double agoMs = after.now() - heard.totalAt();
+        double agoMs = after.now() - received.totalAt();
         assertEquals(100, agoMs, 1000); // the clocks of the test stand while the machine's goes on
     }
 }
