--- a/src/main/java/deckfall/net/Backoff.java
+++ b/src/main/java/deckfall/net/Backoff.java
@@ -4,26 +4,26 @@
 
 /** Waits before further tries: longer with each failure up to a bound, and spread, so that a herd does not stay one. */
 final class Backoff {
-    private final long leastMs;
-    private final long mostMs;
+    private final long minMs;
+    private final long maxMs;
     private final Random random;
-    private long spanMs;
+    private long currentMs;
 
-    Backoff(long leastMs, long mostMs, Random random) {
-        this.leastMs = leastMs;
-        this.mostMs = mostMs;
+    Backoff(long minMs, long maxMs, Random random) {
+        this.minMs = minMs;
+        this.maxMs = maxMs;
         this.random = random;
-        this.spanMs = leastMs;
+        this.currentMs = minMs;
     }
 
     /** Between half of the present span and all of it; the next span is twice as long. */
-    long nextMs() {
-        long waitMs = spanMs / 2 + random.nextInt((int) (spanMs - spanMs / 2) + 1);
-        spanMs = Math.min(mostMs, 2 * spanMs);
-        return waitMs;
+    long nextDelayMs() {
+        long delayMs = currentMs / 2 + random.nextInt((int) (currentMs - currentMs / 2) + 1);
+        currentMs = Math.min(maxMs, 2 * currentMs);
+        return delayMs;
     }
 
     void reset() {
-        spanMs = leastMs;
+        currentMs = minMs;
     }
 }
--- a/src/main/java/deckfall/net/CallTiming.java
+++ b/src/main/java/deckfall/net/CallTiming.java
@@ -22,53 +22,55 @@
  */
 final class CallTiming {
     static final long HOLD_MS = 2000; // a watch that has fallen silent is not noticed sooner
-    private static final long PATIENCE_MS = 1000; // beyond what a call may wait
-    private static final long LONG_PATIENCE_MS = 2000; // now and then, for a discovery that is slow and not silent
-    private static final int LONG_EVERY = 3; // failures in a row; not twice running, by the sum above
-    private static final int LOST_AFTER = 3; // calls in a row that failed: the address may be one of before a move
-    private static final long AGAIN_MS = 80; // at most after a first failure: a watch is broken only after 200
-    private static final long AGAIN_MOST_MS = 800; // a fleet that is turned away comes back by and by
+    private static final long TIMEOUT_MS = 1000; // beyond what a call may wait
+    private static final long LONG_TIMEOUT_MS = 2000; // now and then, for a discovery that is slow and not silent
+    private static final int LONG_TIMEOUT_EVERY = 3; // failures in a row; not twice running, by the sum above
+    private static final int UNREACHABLE_AFTER =
+            3; // calls in a row that failed: the address may be one of before a move
+    private static final long INITIAL_BACKOFF_MS =
+            80; // at most after a first failure: a watch is broken only after 200
+    private static final long MAX_BACKOFF_MS = 800; // a fleet that is turned away comes back by and by
 
     private final Backoff backoff;
-    private int failures; // in a row
+    private int consecutiveFailures; // in a row
 
     CallTiming(Random random) {
-        backoff = new Backoff(AGAIN_MS, AGAIN_MOST_MS, random);
+        backoff = new Backoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, random);
     }
 
     /** How long the next call may wait for news, where there is nothing to catch up on. */
     long holdMs() {
-        return failures == 0 ? HOLD_MS : 0;
+        return consecutiveFailures == 0 ? HOLD_MS : 0;
     }
 
     /** What a connect may take, and an answer beyond what its call may wait. */
-    long patienceMs() {
-        return failures % LONG_EVERY == LONG_EVERY - 1 ? LONG_PATIENCE_MS : PATIENCE_MS;
+    long timeoutMs() {
+        return consecutiveFailures % LONG_TIMEOUT_EVERY == LONG_TIMEOUT_EVERY - 1 ? LONG_TIMEOUT_MS : TIMEOUT_MS;
     }
 
     /** Until the next connect after a call that failed. */
-    long failedMs() {
-        failures++;
-        return backoff.nextMs();
+    long delayAfterFailureMs() {
+        consecutiveFailures++;
+        return backoff.nextDelayMs();
     }
 
     /** Until the next connect where the last one ended with its answer: the watch goes on. */
-    long endedMs() {
-        return backoff.nextMs();
+    long delayAfterCloseMs() {
+        return backoff.nextDelayMs();
     }
 
-    void answered() {
-        failures = 0;
+    void onSuccess() {
+        consecutiveFailures = 0;
         backoff.reset();
     }
 
     /** The next call goes elsewhere: the failures say nothing of that. */
-    void moved() {
+    void onAddressChange() {
         backoff.reset();
     }
 
     /** Whether it is time to look for another address. */
-    boolean lost() {
-        return failures > 0 && failures % LOST_AFTER == 0;
+    boolean shouldReloadAddress() {
+        return consecutiveFailures > 0 && consecutiveFailures % UNREACHABLE_AFTER == 0;
     }
 }
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -94,7 +94,7 @@
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timing.patienceMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timing.timeoutMs())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -117,15 +117,15 @@
         address = to;
         version = -1;
         behind = true;
-        timing.moved();
+        timing.onAddressChange();
         if (channel != null) {
             channel.close(); // its end leads to the new address
         }
     }
 
     private void again() {
-        connectIn(timing.failedMs());
-        if (timing.lost()) {
+        connectIn(timing.delayAfterFailureMs());
+        if (timing.shouldReloadAddress()) {
             node.discoveryUnreachable();
         }
     }
@@ -154,7 +154,7 @@
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, "discovery");
             on.writeAndFlush(request, on.voidPromise());
-            timeout = node.loop.schedule(() -> on.close(), holdMs + timing.patienceMs(), TimeUnit.MILLISECONDS);
+            timeout = node.loop.schedule(() -> on.close(), holdMs + timing.timeoutMs(), TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -172,7 +172,7 @@
             long told = version(list);
             List<Entry> entries = leaving.filter(told, whole, entries(list));
             failing = false;
-            timing.answered();
+            timing.onSuccess();
             behind = !whole && told < version; // versions are counted anew: changes since say nothing
             version = behind ? -1 : told;
             if (whole && !node.warmingUp()) { // once a start or a move: without this line the old list is still in use
@@ -199,7 +199,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             timeout.cancel(false);
             if (last) {
-                connectIn(timing.endedMs());
+                connectIn(timing.delayAfterCloseMs());
             } else {
                 again();
             }
--- a/src/test/java/deckfall/net/BackoffTest.java
+++ b/src/test/java/deckfall/net/BackoffTest.java
@@ -14,14 +14,14 @@
     @Test
     void waitsGrowToTheirBoundAndStartAnew() {
         Backoff b = new Backoff(80, 1500, new Random(1));
-        assertTrue(b.nextMs() <= 80);
+        assertTrue(b.nextDelayMs() <= 80);
         long longest = 0;
         for (int i = 0; i < 100; i++) {
-            longest = Math.max(longest, b.nextMs());
+            longest = Math.max(longest, b.nextDelayMs());
         }
         assertTrue(longest > 750 && longest <= 1500, longest + " ms");
         b.reset();
-        assertTrue(b.nextMs() <= 80);
+        assertTrue(b.nextDelayMs() <= 80);
     }
 
     @Test
@@ -29,7 +29,7 @@
         Set<Long> second = new TreeSet<>();
         for (int i = 0; i < FLEET; i++) {
             Backoff b = new Backoff(80, 1500, new Random(i));
-            second.add(b.nextMs() + b.nextMs());
+            second.add(b.nextDelayMs() + b.nextDelayMs());
         }
         assertTrue(second.size() > FLEET / 2, second.toString());
     }
--- a/src/test/java/deckfall/net/CallTimingTest.java
+++ b/src/test/java/deckfall/net/CallTimingTest.java
@@ -26,8 +26,8 @@
 
     private static long failsAfterMs(Failure how, CallTiming timing) {
         return switch (how) {
-            case SILENT -> timing.holdMs() + timing.patienceMs();
-            case HANGING_CONNECT -> timing.patienceMs();
+            case SILENT -> timing.holdMs() + timing.timeoutMs();
+            case HANGING_CONNECT -> timing.timeoutMs();
             case REFUSED, RESET, UNAVAILABLE -> BROKEN_MS;
         };
     }
@@ -35,12 +35,12 @@
     /** From the end of a spell in which each call that begins fails, and one further call that fails, to the news. */
     private static long heardAfterMs(long spellMs, Failure spell, Failure further, long seed) {
         CallTiming timing = new CallTiming(new Random(seed));
-        timing.answered(); // the watch has been opened as the spell begins
+        timing.onSuccess(); // the watch has been opened as the spell begins
         long now = 0;
         for (boolean over = false; !over; ) {
             over = now >= spellMs;
             now += failsAfterMs(over ? further : spell, timing);
-            now += timing.failedMs();
+            now += timing.delayAfterFailureMs();
         }
         return now + GOOD_MS - spellMs;
     }
@@ -65,21 +65,21 @@
     @Test
     void aSpellOfFailuresHasCallsOfMorePatience() {
         CallTiming timing = new CallTiming(new Random(1));
-        long first = timing.patienceMs();
-        timing.failedMs();
-        assertEquals(first, timing.patienceMs());
-        timing.failedMs();
-        assertTrue(timing.patienceMs() > first);
-        timing.answered();
-        assertEquals(first, timing.patienceMs());
+        long first = timing.timeoutMs();
+        timing.delayAfterFailureMs();
+        assertEquals(first, timing.timeoutMs());
+        timing.delayAfterFailureMs();
+        assertTrue(timing.timeoutMs() > first);
+        timing.onSuccess();
+        assertEquals(first, timing.timeoutMs());
     }
 
     @Test
     void aWatchGoesOnInTimeWhereEachAnswerEndsItsConnection() {
         CallTiming timing = new CallTiming(new Random(1));
         for (int i = 0; i < 10; i++) {
-            timing.answered();
-            assertTrue(timing.endedMs() <= 100);
+            timing.onSuccess();
+            assertTrue(timing.delayAfterCloseMs() <= 100);
             assertEquals(CallTiming.HOLD_MS, timing.holdMs());
         }
     }
