--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -42,10 +42,10 @@
  * where many start at once and each asks for all of it, their calls fail for seconds.
  */
 final class Discovery {
-    static final String LIST = "servers";
-    private static final String PATH = "/v1/servers";
-    private static final long FIRST_LIST_MS = 1000; // a gateway starts without discovery, but not beside it
-    private static final int MAX_LIST = 4 << 20;
+    static final String SERVERS_FIELD = "servers";
+    private static final String SERVERS_PATH = "/v1/servers";
+    private static final long FIRST_LIST_TIMEOUT_MS = 1000; // a gateway starts without discovery, but not beside it
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
     /** A host with the address at which this api gateway reaches it. */
     record Entry(Host host, InetSocketAddress address) {
@@ -62,11 +62,11 @@
     private InetSocketAddress address;
     private Channel channel;
     private Future<?> timeout;
-    private boolean failing;
+    private boolean failureLogged;
     private long version; // -1: the whole list is still to come
-    private boolean behind = true; // what has changed since that version is still to come
-    private final StaleListFilter leaving = new StaleListFilter();
-    private final CountDownLatch listed = new CountDownLatch(1);
+    private boolean catchingUp = true; // what has changed since that version is still to come
+    private final StaleListFilter staleListFilter = new StaleListFilter();
+    private final CountDownLatch firstList = new CountDownLatch(1);
 
     Discovery(Node node) {
         this.node = node;
@@ -83,14 +83,14 @@
      * Waits, on another thread than the loop, until the module knows the present list. The one from before a restart
      * names hosts that drain by now, and no client is to be sent there.
      */
-    void awaitList() throws InterruptedException {
-        if (!listed.await(FIRST_LIST_MS, TimeUnit.MILLISECONDS)) {
+    void awaitFirstList() throws InterruptedException {
+        if (!firstList.await(FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             Node.log("discovery: no list yet, serving from the known one");
         }
     }
 
     private void connect() {
-        Bootstrap b = new Bootstrap()
+        Bootstrap bootstrap = new Bootstrap()
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -98,32 +98,36 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Calls());
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_LIST_BYTES),
+                                        new CallHandler());
                     }
                 });
-        b.connect(address).addListener(f -> {
+        bootstrap.connect(address).addListener(f -> {
             if (!f.isSuccess()) {
-                node.runOnLoop(this::again);
+                node.runOnLoop(this::retry);
             }
         });
     }
 
     /** Asks at another address from now on, for the whole list first. */
-    void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        Node.log("discovery: moves from " + address + " to " + to);
-        address = to;
+        Node.log("discovery: moves from " + address + " to " + newAddress);
+        address = newAddress;
         version = -1;
-        behind = true;
+        catchingUp = true;
         timing.onAddressChange();
         if (channel != null) {
             channel.close(); // its end leads to the new address
         }
     }
 
-    private void again() {
+    private void retry() {
         connectIn(timing.delayAfterFailureMs());
         if (timing.shouldReloadAddress()) {
             node.discoveryUnreachable();
@@ -134,27 +138,27 @@
         node.loop.schedule(this::connect, ms, TimeUnit.MILLISECONDS);
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private boolean last; // an answer has come with which discovery ends the connection
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private boolean closing; // an answer has come with which discovery ends the connection
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            call();
+            sendCall();
             if (!address.equals(channel.remoteAddress())) {
                 channel.close(); // moved while it came up
             }
         }
 
-        private void call() {
-            Channel on = channel;
-            long holdMs = behind ? 0 : timing.holdMs();
-            String uri = version < 0 ? PATH : PATH + "?from=" + version + "&hold_ms=" + holdMs;
+        private void sendCall() {
+            Channel callChannel = channel;
+            long holdMs = catchingUp ? 0 : timing.holdMs();
+            String uri = version < 0 ? SERVERS_PATH : SERVERS_PATH + "?from=" + version + "&hold_ms=" + holdMs;
             DefaultFullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, "discovery");
-            on.writeAndFlush(request, on.voidPromise());
-            timeout = node.loop.schedule(() -> on.close(), holdMs + timing.timeoutMs(), TimeUnit.MILLISECONDS);
+            callChannel.writeAndFlush(request, callChannel.voidPromise());
+            timeout = node.loop.schedule(() -> callChannel.close(), holdMs + timing.timeoutMs(), TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -168,61 +172,62 @@
             try (InputStream in = new ByteBufInputStream(response.content())) {
                 list = json.readTree(in);
             }
-            boolean whole = whole(list);
-            long told = version(list);
-            List<Entry> entries = leaving.filter(told, whole, entries(list));
-            failing = false;
+            boolean full = isFull(list);
+            long listVersion = version(list);
+            List<Entry> entries = staleListFilter.filter(listVersion, full, parseEntries(list));
+            failureLogged = false;
             timing.onSuccess();
-            behind = !whole && told < version; // versions are counted anew: changes since say nothing
-            version = behind ? -1 : told;
-            if (whole && !node.warmingUp()) { // once a start or a move: without this line the old list is still in use
+            catchingUp = !full && listVersion < version; // versions are counted anew: changes since say nothing
+            version = catchingUp ? -1 : listVersion;
+            if (full && !node.warmingUp()) { // once a start or a move: without this line the old list is still in use
                 Node.log("discovery: whole list of " + entries.size() + ", version " + version + ", from " + address);
             }
-            if (!whole && !entries.isEmpty()) { // when each drain was heard of is asked first when one is not kept
-                Node.log("discovery: version " + version + ", " + changed(entries) + ", at " + (long) node.clock.now());
+            if (!full && !entries.isEmpty()) { // when each drain was heard of is asked first when one is not kept
+                Node.log("discovery: version " + version + ", " + describeChanges(entries) + ", at "
+                        + (long) node.clock.now());
             }
             if (HttpUtil.isKeepAlive(response)) {
-                call(); // the next call first, so that no change falls between
+                sendCall(); // the next call first, so that no change falls between
             } else {
-                last = true;
+                closing = true;
                 ctx.close();
             }
-            if (!behind && (whole || !entries.isEmpty())) {
-                node.hostListReceived(whole ? HostListKind.FULL : HostListKind.CHANGES, entries);
+            if (!catchingUp && (full || !entries.isEmpty())) {
+                node.hostListReceived(full ? HostListKind.FULL : HostListKind.CHANGES, entries);
             }
-            if (!behind) {
-                listed.countDown();
+            if (!catchingUp) {
+                firstList.countDown();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             timeout.cancel(false);
-            if (last) {
+            if (closing) {
                 connectIn(timing.delayAfterCloseMs());
             } else {
-                again();
+                retry();
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!failing && !node.warmingUp()) { // one line for a spell of failures, however often it is asked
+            if (!failureLogged && !node.warmingUp()) { // one line for a spell of failures, however often it is asked
                 Node.log("discovery: " + cause.getMessage());
             }
-            failing = true;
+            failureLogged = true;
             ctx.close();
         }
     }
 
-    private static String changed(List<Entry> entries) {
+    private static String describeChanges(List<Entry> entries) {
         StringJoiner text = new StringJoiner(" ");
         entries.forEach(e -> text.add(e.host().id() + "=" + e.host().state()));
         return text.toString();
     }
 
-    private static boolean whole(JsonNode list) {
-        if (!list.path("full").isBoolean() || !list.path(LIST).isArray()) {
+    private static boolean isFull(JsonNode list) {
+        if (!list.path("full").isBoolean() || !list.path(SERVERS_FIELD).isArray()) {
             throw new IllegalArgumentException("a list that does not say what it is");
         }
         return list.path("full").asBoolean();
@@ -237,33 +242,33 @@
     }
 
     /** The entries of a list in discovery's form; malformed ones are an {@link IllegalArgumentException}. */
-    static List<Entry> entries(JsonNode list) {
+    static List<Entry> parseEntries(JsonNode list) {
         List<Entry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (JsonNode e : list.path(LIST)) {
-            if (!e.path("id").isTextual()
-                    || e.path("id").asText().isEmpty()
-                    || !ids.add(e.path("id").asText())) {
+        for (JsonNode item : list.path(SERVERS_FIELD)) {
+            if (!item.path("id").isTextual()
+                    || item.path("id").asText().isEmpty()
+                    || !ids.add(item.path("id").asText())) {
                 throw new IllegalArgumentException("an entry without an id of its own");
             }
-            HostState state = switch (e.path("state").asText()) {
+            HostState state = switch (item.path("state").asText()) {
                 case "ready" -> HostState.RUNNING;
                 case "draining" -> HostState.DRAINING;
                 case "gone" -> HostState.GONE;
-                default -> throw new IllegalArgumentException("unknown host state " + e.path("state"));
+                default -> throw new IllegalArgumentException("unknown host state " + item.path("state"));
             };
             entries.add(new Entry(
                     new Host(
-                            e.path("id").asText(),
-                            e.path("zone").asText(),
-                            e.path("kind").asText(),
-                            e.path("cell").asInt(),
+                            item.path("id").asText(),
+                            item.path("zone").asText(),
+                            item.path("kind").asText(),
+                            item.path("cell").asInt(),
                             state,
-                            e.path("weight").asDouble(1),
-                            e.path("started_ms").asDouble()),
-                    state == HostState.GONE && e.path("addr").asText().isEmpty()
+                            item.path("weight").asDouble(1),
+                            item.path("started_ms").asDouble()),
+                    state == HostState.GONE && item.path("addr").asText().isEmpty()
                             ? null
-                            : NodeConfig.parseAddress(e.path("addr").asText())));
+                            : NodeConfig.parseAddress(item.path("addr").asText())));
         }
         return entries;
     }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -185,7 +185,7 @@
     private void changed(NodeConfig to) {
         log("configuration read again: discovery at " + to.discovery());
         loop.execute(() -> {
-            discovery.move(to.discovery());
+            discovery.moveTo(to.discovery());
             counter.move(to.counter());
         });
     }
@@ -219,8 +219,8 @@
                         tell((now, m) -> m.start(now, config.settings()));
                         tell((now, m) -> m.restoreCustomers(now, recalled));
                         peerLink.start();
-                        if (config.knownList().hasNonNull(Discovery.LIST)) {
-                            hostListReceived(HostListKind.CACHED, Discovery.entries(config.knownList()));
+                        if (config.knownList().hasNonNull(Discovery.SERVERS_FIELD)) {
+                            hostListReceived(HostListKind.CACHED, Discovery.parseEntries(config.knownList()));
                         }
                         discovery.start();
                         counter.start();
@@ -231,7 +231,7 @@
                     .sync();
             times.phaseEnded("module and known list"); // the counter is called, and not waited for
             if (!warmingUp) { // a rehearsal's discovery is the node itself
-                discovery.awaitList();
+                discovery.awaitFirstList();
             }
             times.phaseEnded("discovery");
             StartupRetry.withRetries(
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -138,7 +138,7 @@
 
     /** The version of the list that it starts with; -1 where that names no host. */
     long knownVersion() {
-        return knownList.path(Discovery.LIST).isEmpty()
+        return knownList.path(Discovery.SERVERS_FIELD).isEmpty()
                 ? -1
                 : knownList.path("version").asLong(-1);
     }
@@ -154,7 +154,9 @@
                 .objectNode()
                 .put("version", 1)
                 .put("full", true)
-                .set(Discovery.LIST, JsonNodeFactory.instance.arrayNode().add(self));
+                .set(
+                        Discovery.SERVERS_FIELD,
+                        JsonNodeFactory.instance.arrayNode().add(self));
         return new NodeConfig(
                 at,
                 null,
