--- a/src/main/java/deckfall/net/CounterClient.java
+++ b/src/main/java/deckfall/net/CounterClient.java
@@ -19,15 +19,16 @@
 
 /** Calls the shared counter: calls one behind another on one connection, whose answers come in the same order. */
 final class CounterClient {
-    private static final int MOST_OUT = 256; // a counter that is silent gets no more
-    private static final long AGAIN_MS = 200;
-    private static final double STUCK_MS = 5000; // the oldest call's age at which the connection is given up
-    private static final int LONGEST_LINE = 512;
-    private static final Pattern NUMBER = Pattern.compile("\\s*[-+]?(\\d+(\\.\\d*)?|\\.\\d+)([eE][-+]?\\d+)?\\s*");
-    private static final String VERB = "*4\r\n$6\r\nADDGET\r\n";
+    private static final int MAX_PENDING_CALLS = 256; // a counter that is silent gets no more
+    private static final long RECONNECT_DELAY_MS = 200;
+    private static final double MAX_CALL_AGE_MS = 5000; // the oldest call's age at which the connection is given up
+    private static final int MAX_LINE_BYTES = 512;
+    private static final Pattern NUMBER_PATTERN =
+            Pattern.compile("\\s*[-+]?(\\d+(\\.\\d*)?|\\.\\d+)([eE][-+]?\\d+)?\\s*");
+    private static final String COMMAND_PREFIX = "*4\r\n$6\r\nADDGET\r\n";
 
     private final Node node;
-    private final ArrayDeque<Call> out = new ArrayDeque<>();
+    private final ArrayDeque<Call> pendingCalls = new ArrayDeque<>();
     private InetSocketAddress address;
     private Channel channel;
 
@@ -35,15 +36,15 @@
     private final class Call {
         final String counter;
         final double sentAt = node.clock.now();
-        boolean ended;
+        boolean completed;
 
         Call(String counter) {
             this.counter = counter;
         }
 
-        void end(Outcome outcome, double total) {
-            if (!ended) {
-                ended = true;
+        void complete(Outcome outcome, double total) {
+            if (!completed) {
+                completed = true;
                 node.counterCallEnded(counter, outcome, total);
             }
         }
@@ -69,28 +70,28 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE), new Answers());
+                        ch.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new ReplyHandler());
                     }
                 })
                 .connect(address)
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        again();
+                        scheduleReconnect();
                     }
                 });
     }
 
-    private void again() {
-        node.loop.schedule(this::connect, AGAIN_MS, TimeUnit.MILLISECONDS);
+    private void scheduleReconnect() {
+        node.loop.schedule(this::connect, RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Calls at another address from now on. */
-    void move(InetSocketAddress to) {
-        if (to == null || to.equals(address)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress == null || newAddress.equals(address)) {
             return;
         }
         boolean first = address == null;
-        address = to;
+        address = newAddress;
         if (first) {
             connect();
         } else if (channel != null) {
@@ -100,27 +101,30 @@
 
     void add(String counter, double amount, double lifetimeMs) {
         Call call = new Call(counter);
-        if (!out.isEmpty() && call.sentAt - out.peek().sentAt > STUCK_MS && channel != null) {
+        if (!pendingCalls.isEmpty() && call.sentAt - pendingCalls.peek().sentAt > MAX_CALL_AGE_MS && channel != null) {
             channel.close();
         }
-        if (channel == null || !channel.isActive() || out.size() >= MOST_OUT) {
-            call.end(Outcome.CONNECT_FAILED, 0);
+        if (channel == null || !channel.isActive() || pendingCalls.size() >= MAX_PENDING_CALLS) {
+            call.complete(Outcome.CONNECT_FAILED, 0);
             return;
         }
-        out.add(call);
-        String text = VERB + bulk(counter) + bulk(Double.toString(amount)) + bulk(Long.toString((long) lifetimeMs));
-        channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), text), channel.voidPromise());
+        pendingCalls.add(call);
+        String command = COMMAND_PREFIX
+                + bulkString(counter)
+                + bulkString(Double.toString(amount))
+                + bulkString(Long.toString((long) lifetimeMs));
+        channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), command), channel.voidPromise());
         node.loop.schedule(
-                () -> call.end(Outcome.TIMEOUT, 0), (long) node.config.counterTimeoutMs(), TimeUnit.MILLISECONDS);
+                () -> call.complete(Outcome.TIMEOUT, 0), (long) node.config.counterTimeoutMs(), TimeUnit.MILLISECONDS);
     }
 
-    private static String bulk(String text) {
+    private static String bulkString(String text) {
         return "$" + text.length() + "\r\n" + text + "\r\n";
     }
 
     /** Java also reads words and letters as numbers; a total of no size would spoil all that is reckoned from it. */
-    private static double number(String text) {
-        double number = NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+    private static double parseNumber(String text) {
+        double number = NUMBER_PATTERN.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         if (!Double.isFinite(number)) {
             throw new NumberFormatException(text);
         }
@@ -128,7 +132,7 @@
     }
 
     /** Replies of the Redis protocol: an error's line, or a length's line and the total's. */
-    private final class Answers extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean totalFollows;
 
         @Override
@@ -149,29 +153,29 @@
                 totalFollows = true;
                 return;
             }
-            Call call = out.peek(); // ends with the connection where its answer holds no number
+            Call call = pendingCalls.peek(); // ends with the connection where its answer holds no number
             boolean total = totalFollows;
             totalFollows = false;
             if (call == null) {
                 ctx.close(); // more answers than calls: none can be told from another
             } else if (total) {
-                call.end(Outcome.OK, number(text));
+                call.complete(Outcome.OK, parseNumber(text));
             } else if (text.startsWith("-")) {
-                call.end(Outcome.FULL, 0);
+                call.complete(Outcome.FULL, 0);
             } else {
                 throw new NumberFormatException(text);
             }
-            out.poll();
+            pendingCalls.poll();
         }
 
         /** What had been written may have been added. */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             channel = null;
-            for (Call call = out.poll(); call != null; call = out.poll()) {
-                call.end(Outcome.RESET, 0);
+            for (Call call = pendingCalls.poll(); call != null; call = pendingCalls.poll()) {
+                call.complete(Outcome.RESET, 0);
             }
-            again();
+            scheduleReconnect();
         }
 
         /** No number where one is due: the amount was added, and what follows can't be told apart. */
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -186,7 +186,7 @@
         log("configuration read again: discovery at " + to.discovery());
         loop.execute(() -> {
             discovery.moveTo(to.discovery());
-            counter.move(to.counter());
+            counter.moveTo(to.counter());
         });
     }
 
