--- a/src/main/java/deckfall/net/ConfigReloader.java
+++ b/src/main/java/deckfall/net/ConfigReloader.java
@@ -11,41 +11,41 @@
  * configuration stays in force.
  */
 final class ConfigReloader {
-    private static final long RETRY_MS = 200;
-    private static final int TRIES = 50; // ten seconds
-    private static final long IDLE_SECONDS = 5; // then the thread ends until it is needed again
+    private static final long RETRY_INTERVAL_MS = 200;
+    private static final int MAX_READS = 50; // ten seconds
+    private static final long THREAD_IDLE_SECONDS = 5; // then the thread ends until it is needed again
 
     private final Path file;
-    private final Consumer<NodeConfig> changed;
+    private final Consumer<NodeConfig> onChange;
     private final ScheduledThreadPoolExecutor executor;
 
     /** {@code changed} is called on the reloader's thread. */
-    ConfigReloader(Path file, Consumer<NodeConfig> changed) {
+    ConfigReloader(Path file, Consumer<NodeConfig> onChange) {
         this.file = file;
-        this.changed = changed;
+        this.onChange = onChange;
         executor = new ScheduledThreadPoolExecutor(1, r -> {
             Thread t = new Thread(r, "reload");
             t.setDaemon(true);
             return t;
         });
-        executor.setKeepAliveTime(IDLE_SECONDS, TimeUnit.SECONDS);
+        executor.setKeepAliveTime(THREAD_IDLE_SECONDS, TimeUnit.SECONDS);
         executor.allowCoreThreadTimeOut(true);
     }
 
     /** From any thread. */
     void reload() {
-        executor.execute(() -> read(TRIES));
+        executor.execute(() -> read(MAX_READS));
     }
 
-    private void read(int tries) {
+    private void read(int readsLeft) {
         try {
-            changed.accept(NodeConfig.read(file.toString()));
+            onChange.accept(NodeConfig.read(file.toString()));
         } catch (NodeConfig.InvalidConfigException e) {
-            if (tries == TRIES || tries == 1) {
+            if (readsLeft == MAX_READS || readsLeft == 1) {
                 Node.log("configuration left as it was: " + e.getMessage());
             }
-            if (tries > 1) {
-                executor.schedule(() -> read(tries - 1), RETRY_MS, TimeUnit.MILLISECONDS);
+            if (readsLeft > 1) {
+                executor.schedule(() -> read(readsLeft - 1), RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         } catch (RuntimeException e) {
             Node.log("defect: configuration left as it was: " + e);
--- a/src/main/java/deckfall/net/DispatchRule.java
+++ b/src/main/java/deckfall/net/DispatchRule.java
@@ -24,22 +24,22 @@
     private DispatchRule() {}
 
     /** {@code attempt} counts from 0; {@code shutDown} is whether the drain's time is up. */
-    static Verdict judge(OpenRequest r, int attempt, double now, int maxAttempts, boolean shutDown) {
+    static Verdict check(OpenRequest openRequest, int attempt, double now, int maxAttempts, boolean shutDown) {
         if (shutDown) {
             return Verdict.SHUT_DOWN;
         }
-        if (r.closed()) {
+        if (openRequest.closed()) {
             return Verdict.ENDED;
         }
-        if (now >= r.deadlineMs) {
+        if (now >= openRequest.deadlineMs) {
             return Verdict.DEADLINE_PASSED;
         }
-        if (r.message.streamed()) {
+        if (openRequest.message.streamed()) {
             return Verdict.BODY_SPENT;
         }
         if (attempt >= maxAttempts) {
             return Verdict.ATTEMPTS_USED;
         }
-        return r.clientGone() ? Verdict.CLIENT_GONE : Verdict.ALLOWED;
+        return openRequest.clientGone() ? Verdict.CLIENT_GONE : Verdict.ALLOWED;
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -116,7 +116,7 @@
 
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile) {
-        ReloadSignal reloadSignal = ReloadSignal.heard();
+        ReloadSignal reloadSignal = ReloadSignal.install();
         AtomicReference<Node> started = new AtomicReference<>();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> end(started.get())));
         configureLogging();
@@ -142,7 +142,7 @@
             log("serving on " + config.listen() + " after " + rehearsed + " rehearsed requests");
             log(times.summary());
             node.serving = true;
-            reloadSignal.actsBy(node::reload);
+            reloadSignal.setAction(node::reload);
         } catch (NodeConfig.InvalidConfigException | IOException | RuntimeException e) {
             System.err.println("deckfall: " + e.getMessage());
             Runtime.getRuntime().halt(1);
@@ -690,7 +690,7 @@
 
     /** Whether an attempt may go out now; one that may not has ended without having run. */
     boolean maySend(Attempt a) {
-        DispatchRule.Verdict verdict = DispatchRule.judge(
+        DispatchRule.Verdict verdict = DispatchRule.check(
                 a.owner, a.number, clock.now(), config.settings().limits().maxAttempts(), drainExpired);
         if (verdict == DispatchRule.Verdict.ALLOWED) {
             return true;
--- a/src/main/java/deckfall/net/PeerLink.java
+++ b/src/main/java/deckfall/net/PeerLink.java
@@ -19,19 +19,19 @@
 /** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
 @Sharable // one channel at a time
 final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> {
-    private static final int MAX_BYTES = 256;
-    private static final int EVERYONE = -1;
-    private static final long AGAIN_MS = 100; // until the process that this one replaces lets the port go
+    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int ALL_PEERS = -1;
+    private static final long REBIND_DELAY_MS = 100; // until the process that this one replaces lets the port go
 
     private final Node node;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
     private Channel channel;
-    private boolean failing;
+    private boolean failureLogged;
 
     PeerLink(Node node) {
         this.node = node;
         for (int i = 0; i < node.config.peers().size(); i++) {
-            numbers.put(node.config.peers().get(i), i);
+            peerNumbers.put(node.config.peers().get(i), i);
         }
     }
 
@@ -48,30 +48,30 @@
                 .group(node.loop)
                 .channel(NioDatagramChannel.class)
                 .handler(this)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_BYTES + 1))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1))
                 .bind(node.config.peerListen())
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        if (!failing) { // one line for a spell of failures
+                        if (!failureLogged) { // one line for a spell of failures
                             Node.log("no messages from peers yet: " + f.cause().getMessage());
                         }
-                        failing = true;
-                        bindAgain();
+                        failureLogged = true;
+                        scheduleBind();
                     }
                 })
                 .channel();
     }
 
-    private void bindAgain() {
+    private void scheduleBind() {
         if (!node.loop.isShuttingDown()) {
-            node.loop.schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
+            node.loop.schedule(this::bind, REBIND_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Netty closes the channel on some reads that fail for a moment. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        bindAgain();
+        scheduleBind();
     }
 
     /** On the event loop. */
@@ -80,12 +80,12 @@
     }
 
     void send(int peer, byte[] data) {
-        InetSocketAddress to = peer == EVERYONE
+        InetSocketAddress to = peer == ALL_PEERS
                 ? node.config.peerBroadcast()
                 : peer >= 0 && peer < node.config.peers().size()
                         ? node.config.peers().get(peer)
                         : null;
-        if (channel == null || to == null || data.length > MAX_BYTES) {
+        if (channel == null || to == null || data.length > MAX_MESSAGE_BYTES) {
             return;
         }
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), to), channel.voidPromise());
@@ -93,9 +93,9 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-        Integer peer = numbers.get(packet.sender());
+        Integer peer = peerNumbers.get(packet.sender());
         int length = packet.content().readableBytes();
-        if (peer != null && length > 0 && length <= MAX_BYTES) {
+        if (peer != null && length > 0 && length <= MAX_MESSAGE_BYTES) {
             node.peerMessageReceived(peer, ByteBufUtil.getBytes(packet.content()));
         }
     }
--- a/src/main/java/deckfall/net/ReloadSignal.java
+++ b/src/main/java/deckfall/net/ReloadSignal.java
@@ -11,13 +11,13 @@
     private boolean pending;
 
     /** Begins to hear the signal. */
-    static ReloadSignal heard() {
+    static ReloadSignal install() {
         ReloadSignal signal = new ReloadSignal();
-        hear(signal::raised);
+        registerHandler(signal::onSignal);
         return signal;
     }
 
-    synchronized void raised() {
+    synchronized void onSignal() {
         if (action == null) {
             pending = true;
         } else {
@@ -26,7 +26,7 @@
     }
 
     /** The start is over: {@code reload} is called for each signal from here on, and at once for one before. */
-    synchronized void actsBy(Runnable reload) {
+    synchronized void setAction(Runnable reload) {
         action = reload;
         if (pending) {
             reload.run();
@@ -34,20 +34,21 @@
     }
 
     /** Only the unsupported {@code sun.misc.Signal} hears signals; it is found by name, as the compiler warns of it. */
-    private static void hear(Runnable action) {
+    private static void registerHandler(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object heard = Proxy.newProxyInstance(
-                    handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(
+                    handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (proxy, method, args) -> {
                         if (!method.getName().equals("handle")) {
                             return method.invoke(action, args); // what every object has
                         }
                         action.run();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), heard);
+            signalClass
+                    .getMethod("handle", signalClass, handlerClass)
+                    .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handlerProxy);
         } catch (ReflectiveOperationException e) {
             Node.log("SIGHUP is not heard: " + e);
         }
--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -12,7 +12,7 @@
 /** When a request may go out to a server. */
 class DispatchRuleTest {
     private static final double DEADLINE = 1000;
-    private static final int MOST = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final MemoryBudget room = new MemoryBudget(1 << 20);
     private final OpenRequest request = new OpenRequest(
@@ -22,22 +22,22 @@
             "r",
             null);
 
-    private Verdict judge(int attempt, double now, boolean shutDown) {
-        return DispatchRule.judge(request, attempt, now, MOST, shutDown);
+    private Verdict check(int attempt, double now, boolean shutDown) {
+        return DispatchRule.check(request, attempt, now, MAX_ATTEMPTS, shutDown);
     }
 
     @Test
     void aRequestGoesOutUntilItsDeadlineAndItsLastAttempt() {
-        assertEquals(Verdict.ALLOWED, judge(MOST - 1, DEADLINE - 1, false));
-        assertEquals(Verdict.ATTEMPTS_USED, judge(MOST, DEADLINE - 1, false));
-        assertEquals(Verdict.DEADLINE_PASSED, judge(0, DEADLINE, false));
-        assertEquals(Verdict.SHUT_DOWN, judge(0, 0, true));
+        assertEquals(Verdict.ALLOWED, check(MAX_ATTEMPTS - 1, DEADLINE - 1, false));
+        assertEquals(Verdict.ATTEMPTS_USED, check(MAX_ATTEMPTS, DEADLINE - 1, false));
+        assertEquals(Verdict.DEADLINE_PASSED, check(0, DEADLINE, false));
+        assertEquals(Verdict.SHUT_DOWN, check(0, 0, true));
     }
 
     @Test
     void aRequestThatHasEndedGoesNowhere() {
         request.close();
-        assertEquals(Verdict.ENDED, judge(0, 0, false));
+        assertEquals(Verdict.ENDED, check(0, 0, false));
     }
 
     @Test
@@ -56,6 +56,6 @@
                 return true;
             }
         });
-        assertEquals(Verdict.BODY_SPENT, judge(1, 0, false));
+        assertEquals(Verdict.BODY_SPENT, check(1, 0, false));
     }
 }
