--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -678,7 +678,7 @@
                 setReading(true);
                 keepOrClose();
             } else if (response == null) {
-                if (exchange == null && decoder.holdsBytes()) {
+                if (exchange == null && decoder.hasPartialMessage()) {
                     channel.close();
                 }
             } else {
@@ -692,7 +692,7 @@
         }
 
         private void keepOrClose() {
-            if (written && !surplus && !decoder.holdsBytes() && !pool.closed && HttpUtil.isKeepAlive(head)) {
+            if (written && !surplus && !decoder.hasPartialMessage() && !pool.closed && HttpUtil.isKeepAlive(head)) {
                 idleSince = node.clock.now();
                 pool.idle.addLast(this);
             } else {
--- a/src/main/java/deckfall/net/StrictResponseDecoder.java
+++ b/src/main/java/deckfall/net/StrictResponseDecoder.java
@@ -11,14 +11,14 @@
  * responses ends a name at the first blank, so a line without a colon passes there as a header without a value.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
-    private final MessageProgress begun = new MessageProgress();
+    private final MessageProgress messageProgress = new MessageProgress();
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-        int from = in.readerIndex();
-        int had = out.size();
+        int startIndex = in.readerIndex();
+        int previousSize = out.size();
         super.decode(ctx, in, out);
-        begun.decoded(in, from, out, had);
+        messageProgress.decoded(in, startIndex, out, previousSize);
     }
 
     @Override
@@ -30,7 +30,7 @@
     }
 
     /** True where bytes have come that are no whole message yet. */
-    boolean holdsBytes() {
-        return actualReadableBytes() > 0 || begun.insideMessage();
+    boolean hasPartialMessage() {
+        return actualReadableBytes() > 0 || messageProgress.insideMessage();
     }
 }
