--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -23,11 +23,11 @@
  * once more before it serves, so that its first clients find the code compiled.
  */
 public final class WarmUp {
-    private static final int PATIENCE_MS = 10_000;
-    private static final int WARM_REQUESTS = 400; // most methods on a request's way are compiled by then
-    private static final long WARM_MS = 3000; // and no longer
-    private static final int LINE = 512; // bytes that hold an answer's head
-    private static final String CONFIG = """
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
+    private static final int MAX_REQUESTS = 400; // most methods on a request's way are compiled by then
+    private static final long MAX_DURATION_MS = 3000; // and no longer
+    private static final int MAX_HEAD_BYTES = 512; // bytes that hold an answer's head
+    private static final String CONFIG_TEMPLATE = """
             {"name": "rehearsal", "listen": "%1$s", "discovery": "%1$s", "seed": "1", "peer_listen": "%1$s",
              "peers": ["%1$s", "%1$s"], "known": {"version": 1, "full": true, "servers": [{"id": "self",
                "addr": "%1$s", "zone": "a", "kind": "k", "cell": 0, "state": "ready", "weight": 1,
@@ -39,9 +39,10 @@
                "effect": "once", "goal_time_ms": 300, "hard_limit_ms": 600}],
                "plans": [{"name": "p", "units_per_s": 10, "depth": 10, "cap_rate": 20, "never_over_depth": 20}]}}
             """;
-    private static final String REQUEST = "%s /%s/%d HTTP/1.1\r\nHost: h\r\nX-Trace-Id: rehearsal-%d\r\nX-Plan: %s\r\n"
-            + "X-Customer: %016x\r\nX-Expires-In-Ms: 2000\r\nX-Quota: units=1,spread=%d,first=0\r\n"
-            + "Idempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s";
+    private static final String REQUEST_TEMPLATE =
+            "%s /%s/%d HTTP/1.1\r\nHost: h\r\nX-Trace-Id: rehearsal-%d\r\nX-Plan: %s\r\n"
+                    + "X-Customer: %016x\r\nX-Expires-In-Ms: 2000\r\nX-Quota: units=1,spread=%d,first=0\r\n"
+                    + "Idempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s";
     private static final String BODY = "a body of some length";
 
     private WarmUp() {}
@@ -51,12 +52,12 @@
         Node.configureLogging();
         InetSocketAddress at = freePort(InetAddress.getLoopbackAddress());
         String address = at.getAddress().getHostAddress() + ':' + at.getPort();
-        play(NodeConfig.of(new ObjectMapper().readTree(CONFIG.formatted(address))), WARM_MS);
-        tellSiblings();
+        sendRequests(NodeConfig.of(new ObjectMapper().readTree(CONFIG_TEMPLATE.formatted(address))), MAX_DURATION_MS);
+        exchangeSiblingFiles();
     }
 
     /** So that the archive holds what a process needs that starts beside another. */
-    private static void tellSiblings() throws IOException {
+    private static void exchangeSiblingFiles() throws IOException {
         Path folder = Files.createTempDirectory("rehearsal");
         SiblingFiles one = new SiblingFiles(folder, 1);
         CustomerSnapshot customer = new CustomerSnapshot(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
@@ -78,8 +79,8 @@
 
     private static int warmUp(NodeConfig config) {
         try {
-            NodeConfig alone = config.forWarmUp(freePort(config.listen().getAddress()));
-            return play(alone, WARM_MS);
+            NodeConfig selfHosted = config.forWarmUp(freePort(config.listen().getAddress()));
+            return sendRequests(selfHosted, MAX_DURATION_MS);
         } catch (IOException | RuntimeException e) {
             Node.log("not warmed up: " + e.getMessage()); // slower at first, but it serves
             return 0;
@@ -93,35 +94,36 @@
     }
 
     /** How many requests were answered. */
-    private static int play(NodeConfig config, long longestMs) throws IOException {
-        int asked = 0;
+    private static int sendRequests(NodeConfig config, long maxDurationMs) throws IOException {
+        int answered = 0;
         Node node = new Node(config);
         node.markAsWarmUp();
         try {
             node.start();
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxDurationMs);
             try (Socket socket =
                     new Socket(config.listen().getAddress(), config.listen().getPort())) {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
                 socket.setTcpNoDelay(true);
-                for (; asked < WARM_REQUESTS && System.nanoTime() < end; asked++) {
-                    ask(socket, request(config.settings(), asked));
+                for (; answered < MAX_REQUESTS && System.nanoTime() < end; answered++) {
+                    sendRequest(socket, request(config.settings(), answered));
                 }
             }
         } finally {
             node.stop(); // or a build would never end
         }
-        return asked;
+        return answered;
     }
 
     /** Each class and plan in turn, by customers of which some ask for more than their quota. */
     private static String request(Settings settings, int i) {
-        RequestClass c = settings.classes().get(i % settings.classes().size());
-        boolean safe = c.effect() == Effect.REPEATABLE;
-        String body = safe ? "" : BODY;
-        return REQUEST.formatted(
-                safe ? "GET" : "POST",
-                c.name(),
+        RequestClass requestClass =
+                settings.classes().get(i % settings.classes().size());
+        boolean repeatable = requestClass.effect() == Effect.REPEATABLE;
+        String body = repeatable ? "" : BODY;
+        return REQUEST_TEMPLATE.formatted(
+                repeatable ? "GET" : "POST",
+                requestClass.name(),
                 i,
                 i,
                 planName(settings, i / 2),
@@ -137,12 +139,13 @@
     }
 
     /** Every answer to a rehearsal is a head alone: its host is the node itself, which refuses what it is sent. */
-    private static void ask(Socket socket, String request) throws IOException {
+    private static void sendRequest(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-        byte[] head = new byte[LINE];
+        byte[] head = new byte[MAX_HEAD_BYTES];
         int length = 0;
         while (length < 4 || head[length - 1] != '\n' || head[length - 3] != '\n') {
-            int read = length < LINE ? socket.getInputStream().read(head, length, LINE - length) : -1;
+            int read =
+                    length < MAX_HEAD_BYTES ? socket.getInputStream().read(head, length, MAX_HEAD_BYTES - length) : -1;
             if (read < 0) {
                 throw new IOException("no answer to a rehearsal");
             }
