--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -51,19 +51,22 @@
 
 /** Connections to hosts, one request at a time on each, and what became of what was sent. */
 final class HostClient {
-    private static final String HOST = "backend.local";
-    private static final String NEVER_RAN = "X-Never-Ran";
-    private static final String REPORT = "Endpoint-Load-Metrics";
-    private static final String USED = "X-Quota-Used";
-    private static final int USED_MAX = 100_000; // in percent: more is no use that a gateway could act on
-    private static final double IDLE_SHARE = 0.6; // of the time after which a host may close an idle connection
-    private static final double TRUST_MIN_MS = 50; // so fresh a connection that its end says nothing of idleness
-    private static final double TRUST_CUT = 0.8; // of the idle time at which a connection was found ended
-    private static final double TRUST_GROWTH = 1.02; // a sweep, so that a spell of early closes passes
-    private static final double PROMPT_MS = 50; // a reset so soon after a request: the host had closed before it
-    private static final double REST_MS = 30; // a second copy of an answer may come some milliseconds after the first
-    private static final long SWEEP_MS = 500;
-    private static final int MOST_KEPT = 64 * 1024; // of an answer: beyond this it is passed on as it comes
+    private static final String HOST_HEADER_VALUE = "backend.local";
+    private static final String NEVER_RAN_HEADER = "X-Never-Ran";
+    private static final String LOAD_METRICS_HEADER = "Endpoint-Load-Metrics";
+    private static final String QUOTA_USED_HEADER = "X-Quota-Used";
+    private static final int MAX_USED_PCT = 100_000; // in percent: more is no use that a gateway could act on
+    private static final double IDLE_LIMIT_FRACTION =
+            0.6; // of the time after which a host may close an idle connection
+    private static final double MIN_IDLE_LIMIT_MS = 50; // so fresh a connection that its end says nothing of idleness
+    private static final double IDLE_LIMIT_DECREASE = 0.8; // of the idle time at which a connection was found ended
+    private static final double IDLE_LIMIT_GROWTH = 1.02; // a sweep, so that a spell of early closes passes
+    private static final double STALE_CONNECTION_MS =
+            50; // a reset so soon after a request: the host had closed before it
+    private static final double REUSE_DELAY_MS =
+            30; // a second copy of an answer may come some milliseconds after the first
+    private static final long IDLE_SWEEP_INTERVAL_MS = 500;
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // of an answer: beyond this it is passed on as it comes
     private static final double MAX_DESCRIPTOR_FRACTION = 0.45; // of all descriptors
     /**
      * Descriptors for all else: 22 of a process that has just started, discovery and the counter, 16 callers at the
@@ -79,13 +82,13 @@
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Bootstrap bootstrap;
     private final int maxConnections;
-    private final ConnectionLimits limits;
+    private final ConnectionLimits connectionLimits;
     private volatile int connections; // changed on the event loop alone
 
     HostClient(Node node) {
         this.node = node;
         this.maxConnections = connectionLimit(node.config.sockets());
-        this.limits = new ConnectionLimits(node.config.sockets());
+        this.connectionLimits = new ConnectionLimits(node.config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
@@ -93,7 +96,7 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientServer.WRITE_BUFFER_WATER_MARK)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, ClientServer.readBufferAllocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, node.config.connectTimeoutMs()));
-        node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
+        node.loop.schedule(this::closeIdle, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** The most connections to hosts, where there are so many descriptors and clients hold all that they may. */
@@ -161,31 +164,31 @@
         final InetSocketAddress address;
         final double startedMs;
         final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the last used at the end
-        final Set<Connection> rising = new LinkedHashSet<>(); // each for what waits for it
-        private final double mostIdleMs;
-        double trustMs; // idle for longer than this, a connection is not used again
+        final Set<Connection> connecting = new LinkedHashSet<>(); // each for what waits for it
+        private final double maxIdleLimitMs;
+        double idleLimitMs; // idle for longer than this, a connection is not used again
         boolean closed;
 
-        Pool(InetSocketAddress address, double startedMs, double mostIdleMs) {
+        Pool(InetSocketAddress address, double startedMs, double maxIdleLimitMs) {
             this.address = address;
             this.startedMs = startedMs;
-            this.mostIdleMs = mostIdleMs;
-            this.trustMs = mostIdleMs;
+            this.maxIdleLimitMs = maxIdleLimitMs;
+            this.idleLimitMs = maxIdleLimitMs;
         }
 
         /** The settings tell only the latest time at which a host closes an idle connection; this one was earlier. */
-        void closedEarly(double idleMs) {
-            if (idleMs > TRUST_MIN_MS) {
-                trustMs = Math.max(TRUST_MIN_MS, Math.min(trustMs, idleMs * TRUST_CUT));
+        void lowerIdleLimit(double idleMs) {
+            if (idleMs > MIN_IDLE_LIMIT_MS) {
+                idleLimitMs = Math.max(MIN_IDLE_LIMIT_MS, Math.min(idleLimitMs, idleMs * IDLE_LIMIT_DECREASE));
             }
         }
 
-        void strand(List<Exchange> stranded) {
-            rising.stream().map(c -> c.exchange).filter(Objects::nonNull).forEach(stranded::add);
+        void addWaiting(List<Exchange> waiting) {
+            connecting.stream().map(c -> c.exchange).filter(Objects::nonNull).forEach(waiting::add);
         }
 
-        void trustAgain() {
-            trustMs = Math.min(mostIdleMs, trustMs * TRUST_GROWTH);
+        void raiseIdleLimit() {
+            idleLimitMs = Math.min(maxIdleLimitMs, idleLimitMs * IDLE_LIMIT_GROWTH);
         }
     }
 
@@ -197,35 +200,40 @@
      * knows the list too.
      */
     Runnable updateHosts(HostListKind kind, List<Discovery.Entry> entries) {
-        List<Exchange> stranded = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        for (Discovery.Entry e : entries) {
-            String id = e.host().id();
-            named.add(id);
-            Pool old = pools.get(id);
-            boolean same = old != null
-                    && old.address.equals(e.address())
-                    && old.startedMs == e.host().startedMs();
-            if (e.host().state() == HostState.GONE) {
+        List<Exchange> waiting = new ArrayList<>();
+        Set<String> listedIds = new HashSet<>();
+        for (Discovery.Entry entry : entries) {
+            String id = entry.host().id();
+            listedIds.add(id);
+            Pool oldPool = pools.get(id);
+            boolean sameProcess = oldPool != null
+                    && oldPool.address.equals(entry.address())
+                    && oldPool.startedMs == entry.host().startedMs();
+            if (entry.host().state() == HostState.GONE) {
                 pools.remove(id);
-                close(old, stranded);
-            } else if (!same) {
-                pools.put(id, new Pool(e.address(), e.host().startedMs(), node.config.connectionIdleMs() * IDLE_SHARE));
-                close(old, stranded);
-            } else if (e.host().state() == HostState.DRAINING) {
-                old.strand(stranded);
+                closePool(oldPool, waiting);
+            } else if (!sameProcess) {
+                pools.put(
+                        id,
+                        new Pool(
+                                entry.address(),
+                                entry.host().startedMs(),
+                                node.config.connectionIdleMs() * IDLE_LIMIT_FRACTION));
+                closePool(oldPool, waiting);
+            } else if (entry.host().state() == HostState.DRAINING) {
+                oldPool.addWaiting(waiting);
             }
         }
         if (kind != HostListKind.CHANGES) {
             pools.entrySet().removeIf(p -> {
-                boolean absent = !named.contains(p.getKey());
+                boolean absent = !listedIds.contains(p.getKey());
                 if (absent) {
-                    close(p.getValue(), stranded);
+                    closePool(p.getValue(), waiting);
                 }
                 return absent;
             });
         }
-        return () -> stranded.forEach(Exchange::rejectIfWaiting);
+        return () -> waiting.forEach(Exchange::rejectIfWaiting);
     }
 
     /** From any thread: how many connections to hosts are open or come up. */
@@ -243,9 +251,9 @@
         return pools.size();
     }
 
-    private void close(Pool pool, List<Exchange> stranded) {
+    private void closePool(Pool pool, List<Exchange> waiting) {
         if (pool != null) {
-            pool.strand(stranded);
+            pool.addWaiting(waiting);
             pool.closed = true;
             List<Connection> ended = List.copyOf(pool.idle);
             pool.idle.clear();
@@ -254,26 +262,26 @@
     }
 
     private void closeIdle() {
-        node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
+        node.loop.schedule(this::closeIdle, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         for (Pool pool : pools.values()) {
-            pool.trustAgain();
-            double before = node.clock.now() - pool.trustMs;
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince < before) {
+            pool.raiseIdleLimit();
+            double oldestUsable = node.clock.now() - pool.idleLimitMs;
+            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince < oldestUsable) {
                 pool.idle.pollFirst().channel.close();
             }
         }
     }
 
     /** Makes room for one more connection at the cost of one that is idle somewhere. */
-    private boolean room() {
-        int most = Math.min(maxConnections, limits.maxHosts(node.totalClientConnections()));
+    private boolean makeRoom() {
+        int most = Math.min(maxConnections, connectionLimits.maxHosts(node.totalClientConnections()));
         if (totalConnections() < most) {
             return true;
         }
         for (Pool pool : pools.values()) {
-            Connection c = pool.idle.pollFirst();
-            if (c != null) {
-                c.channel.close();
+            Connection connection = pool.idle.pollFirst();
+            if (connection != null) {
+                connection.channel.close();
                 return true;
             }
         }
@@ -282,35 +290,39 @@
 
     // ---- asking
 
-    void send(Attempt a) {
-        start(a.host, a, () -> attemptMessage(a));
+    void send(Attempt attempt) {
+        start(attempt.host, attempt, () -> requestFor(attempt));
     }
 
     /** The whole message where its body has come, else the head alone. */
-    private HttpRequest attemptMessage(Attempt a) {
-        IncomingRequest message = a.owner.message;
-        HttpRequest from = message.head;
-        HttpRequest to = message.complete()
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri, message.retainedBody())
-                : new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri);
-        HttpHeaders h = to.headers();
-        h.set(HttpHeaderNames.HOST, HOST);
-        h.set(HeaderNames.TRACE_ID, a.owner.traceId);
-        h.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long) Math.max(1, a.owner.deadlineMs - node.clock.now())));
-        String key = from.headers().get(HeaderNames.IDEMPOTENCY_KEY);
+    private HttpRequest requestFor(Attempt attempt) {
+        IncomingRequest message = attempt.owner.message;
+        HttpRequest original = message.head;
+        HttpRequest request = message.complete()
+                ? new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, original.method(), message.uri, message.retainedBody())
+                : new DefaultHttpRequest(HttpVersion.HTTP_1_1, original.method(), message.uri);
+        HttpHeaders headers = request.headers();
+        headers.set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
+        headers.set(HeaderNames.TRACE_ID, attempt.owner.traceId);
+        headers.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long)
+                Math.max(1, attempt.owner.deadlineMs - node.clock.now())));
+        String key = original.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (key != null) {
-            h.set(HeaderNames.IDEMPOTENCY_KEY, key);
+            headers.set(HeaderNames.IDEMPOTENCY_KEY, key);
         }
-        String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        String type = original.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
-            h.set(HttpHeaderNames.CONTENT_TYPE, type);
+            headers.set(HttpHeaderNames.CONTENT_TYPE, type);
         }
         if (!message.complete() && message.declaredBytes < 0) {
-            HttpUtil.setTransferEncodingChunked(to, true);
-        } else if (!from.method().equals(HttpMethod.GET) || message.hasBody()) {
-            h.set(HttpHeaderNames.CONTENT_LENGTH, message.complete() ? message.receivedBytes() : message.declaredBytes);
+            HttpUtil.setTransferEncodingChunked(request, true);
+        } else if (!original.method().equals(HttpMethod.GET) || message.hasBody()) {
+            headers.set(
+                    HttpHeaderNames.CONTENT_LENGTH,
+                    message.complete() ? message.receivedBytes() : message.declaredBytes);
         }
-        return to;
+        return request;
     }
 
     void probe(String host) {
@@ -330,14 +342,14 @@
                             node.clock.now() - sentAt,
                             response == null
                                     ? new double[0]
-                                    : parse(response.content().toString(StandardCharsets.US_ASCII)));
+                                    : parseLoadMetrics(response.content().toString(StandardCharsets.US_ASCII)));
                 }
             }
         };
         start(host, probe, () -> {
             FullHttpRequest message =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-            message.headers().set(HttpHeaderNames.HOST, HOST);
+            message.headers().set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
             return message;
         });
         node.loop.schedule(
@@ -351,22 +363,22 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void start(String host, Exchange x, Message message) {
+    private void start(String host, Exchange exchange, RequestFactory requestFactory) {
         Pool pool = pools.get(host);
         if (pool == null) {
-            x.onEnd(Outcome.CONNECT_FAILED, null); // its address was taken from the list
+            exchange.onEnd(Outcome.CONNECT_FAILED, null); // its address was taken from the list
             return;
         }
-        Connection kept = takeIdle(pool);
-        if (kept != null) {
-            kept.write(x, message.build());
+        Connection idle = takeIdle(pool);
+        if (idle != null) {
+            idle.write(exchange, requestFactory.create());
             return;
         }
-        if (!room()) {
-            x.onEnd(Outcome.CONNECT_FAILED, null);
+        if (!makeRoom()) {
+            exchange.onEnd(Outcome.CONNECT_FAILED, null);
             return;
         }
-        connect(pool, x, message);
+        connect(pool, exchange, requestFactory);
     }
 
     /**
@@ -376,51 +388,51 @@
     private Connection takeIdle(Pool pool) {
         double now = node.clock.now();
         for (Iterator<Connection> lastFirst = pool.idle.descendingIterator(); lastFirst.hasNext(); ) {
-            Connection c = lastFirst.next();
-            double idleMs = now - c.idleSince;
-            if (idleMs < REST_MS) {
+            Connection connection = lastFirst.next();
+            double idleMs = now - connection.idleSince;
+            if (idleMs < REUSE_DELAY_MS) {
                 continue;
             }
             lastFirst.remove();
-            if (c.channel.isActive() && idleMs <= pool.trustMs) {
-                c.idleBeforeMs = idleMs;
-                return c;
+            if (connection.channel.isActive() && idleMs <= pool.idleLimitMs) {
+                connection.idleBeforeMs = idleMs;
+                return connection;
             }
-            c.channel.close();
+            connection.channel.close();
         }
         return null;
     }
 
-    private interface Message {
-        HttpRequest build();
+    private interface RequestFactory {
+        HttpRequest create();
     }
 
-    private void connect(Pool pool, Exchange x, Message message) {
+    private void connect(Pool pool, Exchange exchange, RequestFactory requestFactory) {
         connections++;
-        Connection c = new Connection(pool);
-        pool.rising.add(c);
-        c.exchange = x;
-        x.connection = c;
+        Connection connection = new Connection(pool);
+        pool.connecting.add(connection);
+        connection.exchange = exchange;
+        exchange.connection = connection;
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        c.channel = ch;
-                        ch.pipeline().addLast(c.decoder, new HttpRequestEncoder(), c);
+                        connection.channel = ch;
+                        ch.pipeline().addLast(connection.decoder, new HttpRequestEncoder(), connection);
                     }
                 })
                 .connect(pool.address);
         connecting.addListener(f -> node.runOnLoop(() -> {
-            pool.rising.remove(c);
+            pool.connecting.remove(connection);
             if (!f.isSuccess()) { // also where no descriptor was left: then there is no channel to close
                 connections--;
-                c.lost();
+                connection.lost();
                 return;
             }
             connecting.channel().closeFuture().addListener(closed -> connections--);
-            if (c.exchange == x && x.maySend()) {
-                c.write(x, message.build());
+            if (connection.exchange == exchange && exchange.maySend()) {
+                connection.write(exchange, requestFactory.create());
             }
         }));
     }
@@ -513,13 +525,15 @@
 
         /** What was asked here ended without an answer. It may have run only once its last byte had left. */
         private void lost() {
-            if (exchange != null && idleBeforeMs > TRUST_MIN_MS && node.clock.now() - wroteAt < PROMPT_MS) {
+            if (exchange != null
+                    && idleBeforeMs > MIN_IDLE_LIMIT_MS
+                    && node.clock.now() - wroteAt < STALE_CONNECTION_MS) {
                 node.tally.note(
                         Tally.Count.CLOSED_EARLY,
                         idAsked(),
                         pool.address.toString(),
                         "its connection had been idle for " + (long) idleBeforeMs + " ms");
-                pool.closedEarly(idleBeforeMs);
+                pool.lowerIdleLimit(idleBeforeMs);
             }
             ResponseTransfer broken = transfer;
             transfer = null;
@@ -611,7 +625,7 @@
 
         private void part(HttpContent content) {
             int bytes = content.content().readableBytes();
-            if (transfer == null && body.readableBytes() + bytes > MOST_KEPT && !passOn()) {
+            if (transfer == null && body.readableBytes() + bytes > MAX_BUFFERED_BYTES && !passOn()) {
                 unreadable("longer than any answer that is kept");
                 return;
             }
@@ -717,7 +731,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (pool.idle.remove(this)) {
-                pool.closedEarly(node.clock.now() - idleSince); // by the host: what is closed here left the pool first
+                pool.lowerIdleLimit(
+                        node.clock.now() - idleSince); // by the host: what is closed here left the pool first
             }
             lost();
             takeBody().release();
@@ -737,7 +752,7 @@
         }
         boolean turnedAway = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
-        return turnedAway && "1".equals(response.headers().get(NEVER_RAN)) ? Outcome.FULL : Outcome.ERROR;
+        return turnedAway && "1".equals(response.headers().get(NEVER_RAN_HEADER)) ? Outcome.FULL : Outcome.ERROR;
     }
 
     // ---- the meter
@@ -745,9 +760,9 @@
     /** One more than the customer's told use in percent; 0 where no value of the answer can be read. */
     int usedPct(HttpResponse response) {
         int used = 0;
-        for (String value : response.headers().getAll(USED)) {
+        for (String value : response.headers().getAll(QUOTA_USED_HEADER)) {
             try {
-                used = Math.max(used, 1 + Math.min(USED_MAX, Integer.parseInt(value.trim())));
+                used = Math.max(used, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
             } catch (NumberFormatException e) {
                 // a damaged line beside a good one tells nothing
             }
@@ -757,27 +772,27 @@
 
     // ---- load reports
 
-    double[] report(HttpResponse response) {
-        String text = response.headers().get(REPORT);
-        return text == null ? new double[0] : parse(text);
+    double[] loadMetrics(HttpResponse response) {
+        String text = response.headers().get(LOAD_METRICS_HEADER);
+        return text == null ? new double[0] : parseLoadMetrics(text);
     }
 
     /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
-    private double[] parse(String text) {
+    private double[] parseLoadMetrics(String text) {
         List<String> names = node.config.settings().loadMetricNames();
-        Map<String, Double> told = new HashMap<>();
+        Map<String, Double> values = new HashMap<>();
         for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
             int equals = part.indexOf('=');
             try {
-                told.put(
+                values.put(
                         part.substring(0, Math.max(0, equals)).trim(),
                         Double.valueOf(part.substring(equals + 1).trim()));
             } catch (NumberFormatException e) {
                 return new double[0];
             }
         }
-        return told.keySet().containsAll(names)
-                ? names.stream().mapToDouble(told::get).toArray()
+        return values.keySet().containsAll(names)
+                ? names.stream().mapToDouble(values::get).toArray()
                 : new double[0];
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -595,7 +595,7 @@
         r.attemptsInFlight--;
         boolean closed = r.closed();
         double took = clock.now() - a.sentAt;
-        double[] report = response == null ? NO_REPORT : hosts.report(response);
+        double[] report = response == null ? NO_REPORT : hosts.loadMetrics(response);
         int usedPct = response == null ? 0 : hosts.usedPct(response);
         tell((now, m) -> m.attemptEnded(
                 now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, usedPct, 0, report)));
