--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -154,7 +154,7 @@
             Connection c = connection;
             connection = null;
             if (c != null) {
-                c.drop();
+                c.discard();
             }
         }
     }
@@ -395,7 +395,7 @@
             }
             lastFirst.remove();
             if (connection.channel.isActive() && idleMs <= pool.idleLimitMs) {
-                connection.idleBeforeMs = idleMs;
+                connection.idleBeforeRequestMs = idleMs;
                 return connection;
             }
             connection.channel.close();
@@ -427,7 +427,7 @@
             pool.connecting.remove(connection);
             if (!f.isSuccess()) { // also where no descriptor was left: then there is no channel to close
                 connections--;
-                connection.lost();
+                connection.connectionLost();
                 return;
             }
             connecting.channel().closeFuture().addListener(closed -> connections--);
@@ -444,49 +444,49 @@
         private final StrictResponseDecoder decoder = new StrictResponseDecoder();
         private SocketChannel channel;
         private Exchange exchange;
-        private IncomingRequest upload; // whose body is passed on here
-        private HttpResponse head; // of the answer that is coming
-        private ByteBuf body = Unpooled.EMPTY_BUFFER; // what is kept of it
+        private IncomingRequest streamedBody; // whose body is passed on here
+        private HttpResponse responseHead; // of the answer that is coming
+        private ByteBuf bufferedBody = Unpooled.EMPTY_BUFFER; // what is kept of it
         private ResponseTransfer transfer; // where it is no longer kept
-        private FullHttpResponse answer; // whole, until all that came with it has been read
-        private boolean passedOn; // the same, where it was transferred
-        private boolean surplus; // more has come than was asked for
-        private boolean written; // the request's last byte has left
+        private FullHttpResponse completeResponse; // whole, until all that came with it has been read
+        private boolean transferComplete; // the same, where it was transferred
+        private boolean unexpectedData; // more has come than was asked for
+        private boolean requestWritten; // the request's last byte has left
         private double idleSince;
-        private double idleBeforeMs; // before what is asked now
-        private double wroteAt;
+        private double idleBeforeRequestMs; // before what is asked now
+        private double writeStartedAt;
 
         Connection(Pool pool) {
             this.pool = pool;
         }
 
-        void write(Exchange x, HttpRequest message) {
-            exchange = x;
-            x.connection = this;
-            x.started = true;
-            x.beforeWrite();
-            written = false;
-            wroteAt = node.clock.now();
+        void write(Exchange next, HttpRequest message) {
+            exchange = next;
+            next.connection = this;
+            next.started = true;
+            next.beforeWrite();
+            requestWritten = false;
+            writeStartedAt = node.clock.now();
             if (message instanceof FullHttpRequest) {
-                channel.writeAndFlush(message).addListener(f -> wrote(x, f.isSuccess()));
+                channel.writeAndFlush(message).addListener(f -> onRequestWritten(next, f.isSuccess()));
             } else {
                 channel.write(message, channel.voidPromise());
-                upload = x.requestBody();
-                upload.streamTo(this);
+                streamedBody = next.requestBody();
+                streamedBody.streamTo(this);
             }
         }
 
         /** What was asked has left, or could not: also where nobody waits for the answer any more. */
-        private void wrote(Exchange x, boolean all) {
-            if (all && x instanceof Attempt) {
+        private void onRequestWritten(Exchange sent, boolean success) {
+            if (success && sent instanceof Attempt) {
                 node.metrics.recordDispatch();
             }
-            if (exchange != x) {
+            if (exchange != sent) {
                 return;
             }
-            written = all;
-            if (!written) {
-                lost();
+            requestWritten = success;
+            if (!requestWritten) {
+                connectionLost();
                 channel.close();
             }
         }
@@ -498,12 +498,12 @@
 
         @Override
         public void finishBody() {
-            Exchange x = exchange;
+            Exchange current = exchange;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
-                if (x instanceof Attempt a) {
+                if (current instanceof Attempt a) {
                     a.sentAt = node.clock.now();
                 }
-                wrote(x, f.isSuccess());
+                onRequestWritten(current, f.isSuccess());
             });
         }
 
@@ -514,56 +514,56 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (upload != null) {
-                upload.fireAcceptsMore();
+            if (streamedBody != null) {
+                streamedBody.fireAcceptsMore();
             }
         }
 
-        private String idAsked() {
+        private String traceId() {
             return exchange instanceof Attempt a ? a.owner.traceId : "none";
         }
 
         /** What was asked here ended without an answer. It may have run only once its last byte had left. */
-        private void lost() {
+        private void connectionLost() {
             if (exchange != null
-                    && idleBeforeMs > MIN_IDLE_LIMIT_MS
-                    && node.clock.now() - wroteAt < STALE_CONNECTION_MS) {
+                    && idleBeforeRequestMs > MIN_IDLE_LIMIT_MS
+                    && node.clock.now() - writeStartedAt < STALE_CONNECTION_MS) {
                 node.tally.note(
                         Tally.Count.CLOSED_EARLY,
-                        idAsked(),
+                        traceId(),
                         pool.address.toString(),
-                        "its connection had been idle for " + (long) idleBeforeMs + " ms");
-                pool.lowerIdleLimit(idleBeforeMs);
+                        "its connection had been idle for " + (long) idleBeforeRequestMs + " ms");
+                pool.lowerIdleLimit(idleBeforeRequestMs);
             }
             ResponseTransfer broken = transfer;
             transfer = null;
             if (broken != null) {
                 broken.abort();
             }
-            end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+            endExchange(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
         }
 
-        private void end(Outcome outcome, FullHttpResponse response) {
-            Exchange x = exchange;
+        private void endExchange(Outcome outcome, FullHttpResponse response) {
+            Exchange current = exchange;
             exchange = null;
-            stopUpload();
-            if (x != null) {
-                x.connection = null;
-                x.onEnd(outcome, response);
+            stopStreaming();
+            if (current != null) {
+                current.connection = null;
+                current.onEnd(outcome, response);
             }
         }
 
-        private void stopUpload() {
-            IncomingRequest stopped = upload;
-            upload = null;
+        private void stopStreaming() {
+            IncomingRequest stopped = streamedBody;
+            streamedBody = null;
             if (stopped != null) {
                 stopped.detach(this);
             }
         }
 
-        void drop() {
+        void discard() {
             exchange = null;
-            stopUpload();
+            stopStreaming();
             if (channel != null) {
                 channel.close();
             }
@@ -574,34 +574,34 @@
             node.eventLoopLag.observeDelayMs();
             try {
                 HttpObject object = (HttpObject) message;
-                if (exchange == null && transfer == null || answer != null) {
-                    surplus = true; // nobody asked, or nobody waits any more
+                if (exchange == null && transfer == null || completeResponse != null) {
+                    unexpectedData = true; // nobody asked, or nobody waits any more
                     if (object instanceof HttpResponse) {
                         node.tally.add(Tally.Count.SURPLUS);
                     }
                     channel.close();
                 } else if (object.decoderResult().isFailure()) {
-                    unreadable(String.valueOf(object.decoderResult().cause()));
+                    rejectResponse(String.valueOf(object.decoderResult().cause()));
                 } else {
-                    read(object);
+                    handleObject(object);
                 }
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private void read(HttpObject object) {
+        private void handleObject(HttpObject object) {
             if (object instanceof HttpResponse response) {
-                if (!bounded(response)) {
-                    unreadable("nothing tells the length of " + response.status() + ", "
+                if (!isDelimited(response)) {
+                    rejectResponse("nothing tells the length of " + response.status() + ", "
                             + response.headers().names());
                     return;
                 }
                 boolean interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-                head = interim ? null : response;
+                responseHead = interim ? null : response;
             }
-            if (object instanceof HttpContent content && head != null) {
-                part(content);
+            if (object instanceof HttpContent content && responseHead != null) {
+                handleContent(content);
             }
         }
 
@@ -609,7 +609,7 @@
          * Whether it shows where the answer ends. The end of the connection can, where the host has announced it and
          * it is no reset; unannounced it can't be told from a break.
          */
-        private boolean bounded(HttpResponse response) {
+        private boolean isDelimited(HttpResponse response) {
             return HttpUtil.isContentLengthSet(response)
                     || HttpUtil.isTransferEncodingChunked(response)
                     || response.status().codeClass() != HttpStatusClass.INFORMATIONAL
@@ -617,63 +617,67 @@
                                     .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         }
 
-        private void unreadable(String why) {
-            node.tally.note(Tally.Count.UNREADABLE, idAsked(), pool.address.toString(), why);
-            lost();
+        private void rejectResponse(String why) {
+            node.tally.note(Tally.Count.UNREADABLE, traceId(), pool.address.toString(), why);
+            connectionLost();
             channel.close();
         }
 
-        private void part(HttpContent content) {
+        private void handleContent(HttpContent content) {
             int bytes = content.content().readableBytes();
-            if (transfer == null && body.readableBytes() + bytes > MAX_BUFFERED_BYTES && !passOn()) {
-                unreadable("longer than any answer that is kept");
+            if (transfer == null && bufferedBody.readableBytes() + bytes > MAX_BUFFERED_BYTES && !startTransfer()) {
+                rejectResponse("longer than any answer that is kept");
                 return;
             }
             if (transfer != null) {
                 transfer.write(content.content().retain());
             } else if (bytes > 0) {
-                keep(content.content());
+                buffer(content.content());
             }
             if (content instanceof LastHttpContent) {
-                whole();
+                responseComplete();
             }
         }
 
-        private void keep(ByteBuf content) {
-            if (body == Unpooled.EMPTY_BUFFER) {
-                body = channel.alloc().buffer(content.readableBytes());
+        private void buffer(ByteBuf content) {
+            if (bufferedBody == Unpooled.EMPTY_BUFFER) {
+                bufferedBody = channel.alloc().buffer(content.readableBytes());
             }
-            body.writeBytes(content);
+            bufferedBody.writeBytes(content);
         }
 
-        private ByteBuf takeBody() {
-            ByteBuf kept = body;
-            body = Unpooled.EMPTY_BUFFER;
+        private ByteBuf takeBufferedBody() {
+            ByteBuf kept = bufferedBody;
+            bufferedBody = Unpooled.EMPTY_BUFFER;
             return kept;
         }
 
         /** Begins to pass the answer on, if it is one that a client waits for. */
-        private boolean passOn() {
-            boolean good = written && outcome(head) == Outcome.OK;
-            transfer = good ? exchange.started(head, this) : null;
+        private boolean startTransfer() {
+            boolean success = requestWritten && outcome(responseHead) == Outcome.OK;
+            transfer = success ? exchange.started(responseHead, this) : null;
             if (transfer == null) {
                 return false;
             }
             exchange.connection = null;
             exchange = null;
-            transfer.write(takeBody());
+            transfer.write(takeBufferedBody());
             return true;
         }
 
-        private void whole() {
+        private void responseComplete() {
             if (transfer == null) {
-                answer = new DefaultFullHttpResponse(
-                        head.protocolVersion(), head.status(), takeBody(), head.headers(), EmptyHttpHeaders.INSTANCE);
+                completeResponse = new DefaultFullHttpResponse(
+                        responseHead.protocolVersion(),
+                        responseHead.status(),
+                        takeBufferedBody(),
+                        responseHead.headers(),
+                        EmptyHttpHeaders.INSTANCE);
                 return;
             }
             ResponseTransfer done = transfer;
             transfer = null;
-            passedOn = true;
+            transferComplete = true;
             done.finish();
         }
 
@@ -683,36 +687,40 @@
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            FullHttpResponse response = answer;
-            answer = null;
+            FullHttpResponse response = completeResponse;
+            completeResponse = null;
             if (transfer != null) {
                 transfer.flush();
-            } else if (passedOn) {
-                passedOn = false;
+            } else if (transferComplete) {
+                transferComplete = false;
                 setReading(true);
-                keepOrClose();
+                reuseOrClose();
             } else if (response == null) {
                 if (exchange == null && decoder.hasPartialMessage()) {
                     channel.close();
                 }
             } else {
                 try {
-                    keepOrClose();
-                    end(outcome(response), response);
+                    reuseOrClose();
+                    endExchange(outcome(response), response);
                 } finally {
                     response.release();
                 }
             }
         }
 
-        private void keepOrClose() {
-            if (written && !surplus && !decoder.hasPartialMessage() && !pool.closed && HttpUtil.isKeepAlive(head)) {
+        private void reuseOrClose() {
+            if (requestWritten
+                    && !unexpectedData
+                    && !decoder.hasPartialMessage()
+                    && !pool.closed
+                    && HttpUtil.isKeepAlive(responseHead)) {
                 idleSince = node.clock.now();
                 pool.idle.addLast(this);
             } else {
                 channel.close();
             }
-            head = null;
+            responseHead = null;
         }
 
         @Override
@@ -734,13 +742,13 @@
                 pool.lowerIdleLimit(
                         node.clock.now() - idleSince); // by the host: what is closed here left the pool first
             }
-            lost();
-            takeBody().release();
+            connectionLost();
+            takeBufferedBody().release();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            lost();
+            connectionLost();
             channel.close();
         }
     }
@@ -750,9 +758,9 @@
         if (code == HttpResponseStatus.OK.code()) {
             return Outcome.OK;
         }
-        boolean turnedAway = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+        boolean overloaded = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
-        return turnedAway && "1".equals(response.headers().get(NEVER_RAN_HEADER)) ? Outcome.FULL : Outcome.ERROR;
+        return overloaded && "1".equals(response.headers().get(NEVER_RAN_HEADER)) ? Outcome.FULL : Outcome.ERROR;
     }
 
     // ---- the meter
