--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -44,13 +44,14 @@
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
 public final class Node implements Actions {
-    private static final double MARGIN_MS = 20; // the answer must reach the client within its time
-    private static final long EXIT_MS = 30_000; // after SIGTERM: long answers have had their time, if there is any
-    private static final long LAST_WORD_MS = 100; // for the last figures to be logged
-    private static final long POLL_MS = 20; // how often a drain looks whether all is answered
-    private static final long SURVEY_MS = 100; // how often the figures on hosts are brought up to date
-    private static final int HEAP_SHARE = 4; // one byte of so many may hold what clients and hosts sent
-    private static final double BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
+    private static final double RESPONSE_MARGIN_MS = 20; // the answer must reach the client within its time
+    private static final long SHUTDOWN_TIMEOUT_MS =
+            30_000; // after SIGTERM: long answers have had their time, if there is any
+    private static final long FINAL_TALLY_TIMEOUT_MS = 100; // for the last figures to be logged
+    private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain looks whether all is answered
+    private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the figures on hosts are brought up to date
+    private static final int BUFFER_HEAP_DIVISOR = 4; // one byte of so many may hold what clients and hosts sent
+    private static final double MIN_BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_REPORT = new double[0];
 
@@ -66,52 +67,52 @@
             new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> eventLoopLag);
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
-    final MemoryBudget memoryBudget = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+    final MemoryBudget memoryBudget = new MemoryBudget(Runtime.getRuntime().maxMemory() / BUFFER_HEAP_DIVISOR);
     final Metrics metrics;
     private final Events module;
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ClientServer clients;
-    private final HostClient hosts;
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+    private final ClientServer clientServer;
+    private final HostClient hostClient;
     private final Discovery discovery;
     private final PeerLink peerLink;
-    private final CounterClient counter;
+    private final CounterClient counterClient;
     private final Drain drain;
     private final CountDownLatch drained = new CountDownLatch(1);
-    private boolean telling;
+    private boolean delivering;
     private volatile boolean serving;
     private boolean warmingUp;
     private ConfigReloader reloader; // null where the configuration came from elsewhere
     private SiblingWatch siblingWatch; // set before the start, where another process may serve as this gateway
-    private List<CustomerSnapshot> recalled = List.of();
+    private List<CustomerSnapshot> restoredCustomers = List.of();
     private int servingProcesses = 1;
     private SiblingWatch.SiblingCounts siblings = SiblingWatch.SiblingCounts.NONE;
     private SiblingWatch.SiblingCounts lastPublished =
             SiblingWatch.SiblingCounts.NONE; // what others have last heard of this process
-    private volatile boolean ending; // by SIGTERM: no operator takes that back
+    private volatile boolean terminating; // by SIGTERM: no operator takes that back
     private boolean drainExpired; // the drain's time is up: nothing more is sent
-    private long repeats;
+    private long duplicateIds;
 
     Node(NodeConfig config) {
         this(config, DecisionModule::new);
     }
 
     /** With a module of the caller's making. */
-    Node(NodeConfig config, Function<Actions, Events> maker) {
-        this(config, maker, new Clock());
+    Node(NodeConfig config, Function<Actions, Events> moduleFactory) {
+        this(config, moduleFactory, new Clock());
     }
 
-    Node(NodeConfig config, Function<Actions, Events> maker, Clock clock) {
+    Node(NodeConfig config, Function<Actions, Events> moduleFactory, Clock clock) {
         this.config = config;
         this.clock = clock;
         this.metrics = new Metrics(config.settings().classes());
-        this.module = maker.apply(this);
-        this.clients = new ClientServer(this);
-        this.hosts = new HostClient(this);
+        this.module = moduleFactory.apply(this);
+        this.clientServer = new ClientServer(this);
+        this.hostClient = new HostClient(this);
         this.discovery = new Discovery(this);
         this.peerLink = new PeerLink(this);
-        this.counter = new CounterClient(this);
-        this.drain = new Drain(loop, clock, clients);
+        this.counterClient = new CounterClient(this);
+        this.drain = new Drain(loop, clock, clientServer);
     }
 
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
@@ -186,7 +187,7 @@
         log("configuration read again: discovery at " + to.discovery());
         loop.execute(() -> {
             discovery.moveTo(to.discovery());
-            counter.moveTo(to.counter());
+            counterClient.moveTo(to.counter());
         });
     }
 
@@ -217,16 +218,20 @@
         try {
             loop.submit(() -> {
                         tell((now, m) -> m.start(now, config.settings()));
-                        tell((now, m) -> m.restoreCustomers(now, recalled));
+                        tell((now, m) -> m.restoreCustomers(now, restoredCustomers));
                         peerLink.start();
                         if (config.knownList().hasNonNull(Discovery.SERVERS_FIELD)) {
                             hostListReceived(HostListKind.CACHED, Discovery.parseEntries(config.knownList()));
                         }
                         discovery.start();
-                        counter.start();
+                        counterClient.start();
                         loop.scheduleAtFixedRate(
                                 this::logTally, Tally.PERIOD_MS, Tally.PERIOD_MS, TimeUnit.MILLISECONDS);
-                        loop.scheduleAtFixedRate(this::countHosts, SURVEY_MS, SURVEY_MS, TimeUnit.MILLISECONDS);
+                        loop.scheduleAtFixedRate(
+                                this::countHosts,
+                                HOST_METRICS_INTERVAL_MS,
+                                HOST_METRICS_INTERVAL_MS,
+                                TimeUnit.MILLISECONDS);
                     })
                     .sync();
             times.phaseEnded("module and known list"); // the counter is called, and not waited for
@@ -247,7 +252,7 @@
     }
 
     private Future<?> listen(ServerSocketChannel inherited) {
-        return ending ? loop.newSucceededFuture(null) : clients.start(inherited);
+        return terminating ? loop.newSucceededFuture(null) : clientServer.start(inherited);
     }
 
     /**
@@ -302,14 +307,14 @@
      */
     private void tell(Event event) {
         assert loop.inEventLoop() : "told beside the loop";
-        events.add(event);
-        if (telling) {
+        pendingEvents.add(event);
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         eventLoopLag.observeDelayMs(); // a timer's turn has no I/O
         try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
+            for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
                     next.tell(clock.now(), module);
                 } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
@@ -318,7 +323,7 @@
                 }
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
@@ -328,17 +333,17 @@
         siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.LocalProcess() {
             @Override
             public boolean acceptsClients() {
-                return serving && !ending;
+                return serving && !terminating;
             }
 
             @Override
             public int clientConnections() {
-                return clients.connectionCount();
+                return clientServer.connectionCount();
             }
 
             @Override
             public int hostConnections() {
-                return hosts.connections();
+                return hostClient.connections();
             }
 
             @Override
@@ -382,12 +387,12 @@
 
     /** Connections from clients that all processes of this gateway hold. */
     int totalClientConnections() {
-        return clients.descriptorsHeld();
+        return clientServer.descriptorsHeld();
     }
 
     /** The same of connections to hosts. */
     int totalHostConnections() {
-        return hosts.totalConnections();
+        return hostClient.totalConnections();
     }
 
     /**
@@ -402,13 +407,13 @@
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
     private void recall() {
         if (siblingWatch != null) {
-            recalled = siblingWatch.customersOfServingSibling();
-            log("recalled " + recalled.size() + " customers of another process");
+            restoredCustomers = siblingWatch.customersOfServingSibling();
+            log("recalled " + restoredCustomers.size() + " customers of another process");
         }
     }
 
     private void countHosts() {
-        metrics.targets(hosts.updateHosts(), module.avoidedHostCount(clock.now()));
+        metrics.targets(hostClient.updateHosts(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -446,7 +451,7 @@
             @Override
             public void resume() {
                 log("operator: resume");
-                if (!ending) {
+                if (!terminating) {
                     drain.resume();
                 }
             }
@@ -472,14 +477,14 @@
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
     void requestReceived(Request read, IncomingRequest message, ClientConnection client) {
-        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / BODY_BYTES_PER_MS);
+        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
         String id = r.id();
-        while (open.containsKey(id)) { // the module knows requests by id, and a client may repeat one
-            id = r.id() + '#' + ++repeats;
+        while (openRequests.containsKey(id)) { // the module knows requests by id, and a client may repeat one
+            id = r.id() + '#' + ++duplicateIds;
         }
         Request told = id.equals(r.id()) ? r : due(r, id, 0);
         OpenRequest entry = new OpenRequest(told, message, r.id(), client);
-        open.put(id, entry);
+        openRequests.put(id, entry);
         metrics.requestOpened();
         tally.add(Tally.Count.TAKEN);
         client.setOpenRequest(entry);
@@ -515,7 +520,7 @@
 
     /** When the answer must have left for a client that waits this long from its sending. */
     static double deadline(double now, double expiresInMs) {
-        return now + Math.max(1, expiresInMs - MARGIN_MS);
+        return now + Math.max(1, expiresInMs - RESPONSE_MARGIN_MS);
     }
 
     private static long micros(double ms) {
@@ -523,7 +528,7 @@
     }
 
     boolean openLimitReached() {
-        return open.size() >= config.maxOpenRequests();
+        return openRequests.size() >= config.maxOpenRequests();
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
@@ -595,8 +600,8 @@
         r.attemptsInFlight--;
         boolean closed = r.closed();
         double took = clock.now() - a.sentAt;
-        double[] report = response == null ? NO_REPORT : hosts.loadMetrics(response);
-        int usedPct = response == null ? 0 : hosts.usedPct(response);
+        double[] report = response == null ? NO_REPORT : hostClient.loadMetrics(response);
+        int usedPct = response == null ? 0 : hostClient.usedPct(response);
         tell((now, m) -> m.attemptEnded(
                 now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, usedPct, 0, report)));
         forgetIfOver(r);
@@ -640,14 +645,14 @@
     }
 
     private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.attemptsInFlight == 0 && open.remove(r.request.id(), r)) {
+        if (r.closed() && r.attemptsInFlight == 0 && openRequests.remove(r.request.id(), r)) {
             r.deadlineTimer.cancel(false);
             r.message.release();
         }
     }
 
     void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
-        Runnable turnBack = hosts.updateHosts(kind, entries);
+        Runnable turnBack = hostClient.updateHosts(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
         tell((now, m) -> m.hostsUpdated(now, kind, list));
@@ -671,7 +676,7 @@
 
     @Override
     public void send(String id, String host, double timeoutMs) {
-        OpenRequest r = open.get(id);
+        OpenRequest r = openRequests.get(id);
         if (r == null) {
             return;
         }
@@ -685,7 +690,7 @@
         if (timeoutMs > 0) {
             loop.schedule(() -> giveUp(a, Outcome.TIMEOUT), micros(timeoutMs), TimeUnit.MICROSECONDS);
         }
-        hosts.send(a);
+        hostClient.send(a);
     }
 
     /** Whether an attempt may go out now; one that may not has ended without having run. */
@@ -716,7 +721,7 @@
 
     @Override
     public void cancel(String id, int attempt) {
-        OpenRequest r = open.get(id);
+        OpenRequest r = openRequests.get(id);
         if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
             giveUp(r.attempts.get(attempt), Outcome.CANCELLED);
         }
@@ -724,15 +729,15 @@
 
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
-        if (open.containsKey(id)) {
+        if (openRequests.containsKey(id)) {
             tally.addRefusal(why);
         }
-        answer(open.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
+        answer(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
-        answer(open.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
+        answer(openRequests.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
     private void answer(OpenRequest r, HttpResponseStatus status, double retryAfterMs) {
@@ -756,7 +761,7 @@
 
     @Override
     public void probeHost(String host) {
-        hosts.probe(host);
+        hostClient.probe(host);
     }
 
     @Override
@@ -766,7 +771,7 @@
 
     @Override
     public void addToCounter(String name, double amount, double lifetimeMs) {
-        counter.add(name, amount, lifetimeMs);
+        counterClient.add(name, amount, lifetimeMs);
     }
 
     /** Discovery is always watched. */
@@ -779,8 +784,8 @@
         log("ending: no new clients, " + metrics.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
-            boolean all = awaitDrained(EXIT_MS);
-            loop.submit(this::logTally).await(LAST_WORD_MS);
+            boolean all = awaitDrained(SHUTDOWN_TIMEOUT_MS);
+            loop.submit(this::logTally).await(FINAL_TALLY_TIMEOUT_MS);
             log("ended, " + (all ? "all answered" : metrics.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -793,8 +798,8 @@
 
     /** Accepts on for a while, since clients still come; answers all; then lets the process end. */
     void drain() {
-        ending = true;
-        if (clients.listener() == null) {
+        terminating = true;
+        if (clientServer.listener() == null) {
             drained.countDown(); // nobody was let in
             return;
         }
@@ -802,7 +807,7 @@
         double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
                 () -> stopAccepting(latest),
-                Drain.MIN_ACCEPT_MS + POLL_MS,
+                Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
         loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
@@ -810,10 +815,10 @@
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
     void endOpenRequests() {
         drainExpired = true;
-        for (OpenRequest r : List.copyOf(open.values())) {
+        for (OpenRequest r : List.copyOf(openRequests.values())) {
             endAttempts(r); // the module refuses or fails it, as its further attempts are void now
         }
-        for (OpenRequest r : List.copyOf(open.values())) {
+        for (OpenRequest r : List.copyOf(openRequests.values())) {
             if (!r.closed()) { // still held: what was never sent is refused, as coming again does no harm
                 answer(
                         r,
@@ -821,7 +826,7 @@
                         0);
             }
         }
-        clients.closeAll();
+        clientServer.closeAll();
     }
 
     boolean drainExpired() {
@@ -834,22 +839,22 @@
      * left to it.
      */
     private void stopAccepting(double latest) {
-        boolean leftToOther = clients.sharesListener() && servingProcesses > 1;
-        boolean allAccepted = leftToOther || clients.acceptQueued();
-        boolean stirs = !leftToOther && clock.now() - clients.lastActivityMs() < Drain.RECONNECT_MS;
+        boolean leftToOther = clientServer.sharesListener() && servingProcesses > 1;
+        boolean allAccepted = leftToOther || clientServer.acceptQueued();
+        boolean stirs = !leftToOther && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
         if ((stirs || !allAccepted) && clock.now() < latest) {
-            loop.schedule(() -> stopAccepting(latest), POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> stopAccepting(latest), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        clients.stopAccepting();
+        clientServer.stopAccepting();
         awaitEmpty();
     }
 
     private void awaitEmpty() {
-        if (open.isEmpty() && clients.hasNoConnections()) {
+        if (openRequests.isEmpty() && clientServer.hasNoConnections()) {
             drained.countDown();
         } else {
-            loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::awaitEmpty, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -863,9 +868,9 @@
 
     /** The port of the listener, where the configuration left it to the system; 0 before clients are let in. */
     int port() {
-        return clients.listener() == null
+        return clientServer.listener() == null
                 ? 0
-                : ((java.net.InetSocketAddress) clients.listener().localAddress()).getPort();
+                : ((java.net.InetSocketAddress) clientServer.listener().localAddress()).getPort();
     }
 
     /** Ends everything at once and answers nothing. */
