--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -53,11 +53,11 @@
     private static final int BUFFER_HEAP_DIVISOR = 4; // one byte of so many may hold what clients and hosts sent
     private static final double MIN_BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
     private static final double MICROS_PER_MS = 1000;
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** Something that the module is to be told. */
     private interface Event {
-        void tell(double now, Events module);
+        void deliver(double now, Events module);
     }
 
     final NodeConfig config;
@@ -119,29 +119,29 @@
     public static void main(String configFile) {
         ReloadSignal reloadSignal = ReloadSignal.install();
         AtomicReference<Node> started = new AtomicReference<>();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> end(started.get())));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(started.get())));
         configureLogging();
-        StartupTimes times = new StartupTimes(new Clock());
+        StartupTimes startupTimes = new StartupTimes(new Clock());
         try {
             NodeConfig config = config(configFile);
-            times.phaseEnded("configuration");
+            startupTimes.phaseEnded("configuration");
             ServerSocketChannel inherited = InheritedListener.fromEnvironment();
             Node node = StartupRetry.withRetries("no event loop", () -> new Node(config));
-            node.configuredBy(Path.of(configFile));
+            node.setConfigFile(Path.of(configFile));
             if (config.operator() != null) { // it says no until clients are taken
-                StartupRetry.withRetries("no operator address", () -> operator(config, node));
+                StartupRetry.withRetries("no operator address", () -> startOperator(config, node));
             }
             if (inherited != null && System.getenv("TMPDIR") != null) {
                 node.watchSiblings(Path.of(System.getenv("TMPDIR")));
             }
-            times.phaseEnded("operator and siblings");
-            int rehearsed = WarmUp.warmUp(config, inherited == null && config.wasInService());
-            times.phaseEnded("warm-up");
-            node.recall();
+            startupTimes.phaseEnded("operator and siblings");
+            int warmUpRequests = WarmUp.warmUp(config, inherited == null && config.wasInService());
+            startupTimes.phaseEnded("warm-up");
+            node.readSiblingCustomers();
             started.set(node);
-            node.start(inherited, times);
-            log("serving on " + config.listen() + " after " + rehearsed + " rehearsed requests");
-            log(times.summary());
+            node.start(inherited, startupTimes);
+            log("serving on " + config.listen() + " after " + warmUpRequests + " rehearsed requests");
+            log(startupTimes.summary());
             node.serving = true;
             reloadSignal.setAction(node::reload);
         } catch (NodeConfig.InvalidConfigException | IOException | RuntimeException e) {
@@ -151,7 +151,7 @@
     }
 
     /** What SIGTERM begins; a node that has not begun to serve owes nothing. */
-    private static void end(Node node) {
+    private static void shutDown(Node node) {
         if (node == null) {
             Runtime.getRuntime().halt(0);
         } else {
@@ -159,7 +159,7 @@
         }
     }
 
-    private static OperatorServer operator(NodeConfig config, Node node) throws IOException {
+    private static OperatorServer startOperator(NodeConfig config, Node node) throws IOException {
         OperatorServer operator = new OperatorServer(config.operator(), node.operatorCommands());
         operator.start();
         return operator;
@@ -183,17 +183,17 @@
     }
 
     /** Takes from a replaced configuration what may change while a node serves: where others are. */
-    private void changed(NodeConfig to) {
-        log("configuration read again: discovery at " + to.discovery());
+    private void applyConfig(NodeConfig newConfig) {
+        log("configuration read again: discovery at " + newConfig.discovery());
         loop.execute(() -> {
-            discovery.moveTo(to.discovery());
-            counterClient.moveTo(to.counter());
+            discovery.moveTo(newConfig.discovery());
+            counterClient.moveTo(newConfig.counter());
         });
     }
 
     /** The file in which the platform tells of changes. */
-    void configuredBy(Path file) {
-        reloader = new ConfigReloader(file, this::changed);
+    void setConfigFile(Path file) {
+        reloader = new ConfigReloader(file, this::applyConfig);
     }
 
     /**
@@ -214,11 +214,11 @@
     }
 
     /** Returns once clients are let in, at the inherited listener if there is one. */
-    private void start(ServerSocketChannel inherited, StartupTimes times) throws IOException {
+    private void start(ServerSocketChannel inherited, StartupTimes startupTimes) throws IOException {
         try {
             loop.submit(() -> {
-                        tell((now, m) -> m.start(now, config.settings()));
-                        tell((now, m) -> m.restoreCustomers(now, restoredCustomers));
+                        deliver((now, m) -> m.start(now, config.settings()));
+                        deliver((now, m) -> m.restoreCustomers(now, restoredCustomers));
                         peerLink.start();
                         if (config.knownList().hasNonNull(Discovery.SERVERS_FIELD)) {
                             hostListReceived(HostListKind.CACHED, Discovery.parseEntries(config.knownList()));
@@ -228,21 +228,21 @@
                         loop.scheduleAtFixedRate(
                                 this::logTally, Tally.PERIOD_MS, Tally.PERIOD_MS, TimeUnit.MILLISECONDS);
                         loop.scheduleAtFixedRate(
-                                this::countHosts,
+                                this::updateHostMetrics,
                                 HOST_METRICS_INTERVAL_MS,
                                 HOST_METRICS_INTERVAL_MS,
                                 TimeUnit.MILLISECONDS);
                     })
                     .sync();
-            times.phaseEnded("module and known list"); // the counter is called, and not waited for
+            startupTimes.phaseEnded("module and known list"); // the counter is called, and not waited for
             if (!warmingUp) { // a rehearsal's discovery is the node itself
                 discovery.awaitFirstList();
             }
-            times.phaseEnded("discovery");
+            startupTimes.phaseEnded("discovery");
             StartupRetry.withRetries(
                     "no listener",
                     () -> loop.submit(() -> listen(inherited)).sync().getNow().sync());
-            times.phaseEnded("listener");
+            startupTimes.phaseEnded("listener");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -267,8 +267,9 @@
         }
         root.addHandler(new Handler() {
             @Override
-            public void publish(LogRecord r) {
-                log(r.getLevel() + " " + r.getMessage() + (r.getThrown() == null ? "" : " " + r.getThrown()));
+            public void publish(LogRecord record) {
+                log(record.getLevel() + " " + record.getMessage()
+                        + (record.getThrown() == null ? "" : " " + record.getThrown()));
             }
 
             @Override
@@ -305,7 +306,7 @@
      * Tells the module in order, and never from inside itself: what its own actions bring about at once waits
      * until it has returned.
      */
-    private void tell(Event event) {
+    private void deliver(Event event) {
         assert loop.inEventLoop() : "told beside the loop";
         pendingEvents.add(event);
         if (delivering) {
@@ -316,7 +317,7 @@
         try {
             for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
-                    next.tell(clock.now(), module);
+                    next.deliver(clock.now(), module);
                 } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
                     log("defect: the module threw " + e);
                     e.printStackTrace();
@@ -376,7 +377,7 @@
         if (count != servingProcesses && serving) {
             log("processes serving as this gateway: " + count);
             servingProcesses = count;
-            tell((now, m) -> m.processCountChanged(now, count));
+            deliver((now, m) -> m.processCountChanged(now, count));
         }
     }
 
@@ -405,14 +406,14 @@
     }
 
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
-    private void recall() {
+    private void readSiblingCustomers() {
         if (siblingWatch != null) {
             restoredCustomers = siblingWatch.customersOfServingSibling();
             log("recalled " + restoredCustomers.size() + " customers of another process");
         }
     }
 
-    private void countHosts() {
+    private void updateHostMetrics() {
         metrics.targets(hostClient.updateHosts(), module.avoidedHostCount(clock.now()));
     }
 
@@ -476,45 +477,48 @@
      * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
-    void requestReceived(Request read, IncomingRequest message, ClientConnection client) {
-        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
-        String id = r.id();
+    void requestReceived(Request parsed, IncomingRequest message, ClientConnection client) {
+        Request request = message.complete()
+                ? parsed
+                : withDeadline(parsed, parsed.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
+        String id = request.id();
         while (openRequests.containsKey(id)) { // the module knows requests by id, and a client may repeat one
-            id = r.id() + '#' + ++duplicateIds;
+            id = request.id() + '#' + ++duplicateIds;
         }
-        Request told = id.equals(r.id()) ? r : due(r, id, 0);
-        OpenRequest entry = new OpenRequest(told, message, r.id(), client);
+        Request delivered = id.equals(request.id()) ? request : withDeadline(request, id, 0);
+        OpenRequest entry = new OpenRequest(delivered, message, request.id(), client);
         openRequests.put(id, entry);
         metrics.requestOpened();
         tally.add(Tally.Count.TAKEN);
         client.setOpenRequest(entry);
-        guard(entry);
-        tell((now, m) -> m.requestReceived(now, told));
+        scheduleDeadline(entry);
+        deliver((now, m) -> m.requestReceived(now, delivered));
     }
 
-    private static Request due(Request r, String id, double laterMs) {
+    private static Request withDeadline(Request request, String id, double laterMs) {
         return new Request(
                 id,
-                r.deadlineMs() + laterMs,
-                r.retry(),
-                r.requestClass(),
-                r.customer(),
-                r.plan(),
-                r.units(),
-                r.first(),
-                r.spread());
+                request.deadlineMs() + laterMs,
+                request.retry(),
+                request.requestClass(),
+                request.customer(),
+                request.plan(),
+                request.units(),
+                request.first(),
+                request.spread());
     }
 
-    private void guard(OpenRequest r) {
-        r.deadlineTimer = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
+    private void scheduleDeadline(OpenRequest openRequest) {
+        openRequest.deadlineTimer = loop.schedule(
+                () -> deadline(openRequest), toMicros(openRequest.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come that was taken before. */
-    void bodyReceived(OpenRequest r, double deadlineMs) {
-        r.deadlineMs = deadlineMs;
-        if (!r.closed()) {
-            r.deadlineTimer.cancel(false);
-            guard(r);
+    void bodyReceived(OpenRequest openRequest, double deadlineMs) {
+        openRequest.deadlineMs = deadlineMs;
+        if (!openRequest.closed()) {
+            openRequest.deadlineTimer.cancel(false);
+            scheduleDeadline(openRequest);
         }
     }
 
@@ -523,7 +527,7 @@
         return now + Math.max(1, expiresInMs - RESPONSE_MARGIN_MS);
     }
 
-    private static long micros(double ms) {
+    private static long toMicros(double ms) {
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
@@ -532,106 +536,116 @@
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
-    private void deadline(OpenRequest r) {
-        endAttempts(r);
-        if (!r.closed()) {
+    private void deadline(OpenRequest openRequest) {
+        timeOutAttempts(openRequest);
+        if (!openRequest.closed()) {
             log("defect: no answer from the module in time, request failed");
-            answer(r, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
+            respond(openRequest, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
 
-    private void endAttempts(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            giveUp(a, Outcome.TIMEOUT);
+    private void timeOutAttempts(OpenRequest openRequest) {
+        for (Attempt attempt : List.copyOf(openRequest.attempts)) {
+            abandonAttempt(attempt, Outcome.TIMEOUT);
         }
     }
 
     /** What still waited for a connection has never run, whatever else it would count as. */
-    private void giveUp(Attempt a, Outcome begun) {
-        if (!a.ended) {
-            a.abandon();
-            attemptEnded(a, a.started() ? begun : Outcome.CONNECT_FAILED, null);
+    private void abandonAttempt(Attempt attempt, Outcome outcomeIfStarted) {
+        if (!attempt.ended) {
+            attempt.abandon();
+            attemptEnded(attempt, attempt.started() ? outcomeIfStarted : Outcome.CONNECT_FAILED, null);
         }
     }
 
     /** Nobody waits for it any more: it must not leave when its connection comes up, may it be cancelled or not. */
-    private void withdrawUnsent(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            if (!a.ended && !a.started()) {
-                a.abandon();
-                attemptEnded(a, Outcome.MOOT, null);
+    private void cancelUnsentAttempts(OpenRequest openRequest) {
+        for (Attempt attempt : List.copyOf(openRequest.attempts)) {
+            if (!attempt.ended && !attempt.started()) {
+                attempt.abandon();
+                attemptEnded(attempt, Outcome.MOOT, null);
             }
         }
     }
 
-    void clientDisconnected(OpenRequest r) {
-        if (r.closed()) {
+    void clientDisconnected(OpenRequest openRequest) {
+        if (openRequest.closed()) {
             return;
         }
-        close(r);
+        closeRequest(openRequest);
         tally.add(Tally.Count.CLIENT_LEFT);
-        withdrawUnsent(r);
-        tell((now, m) -> m.clientDisconnected(now, r.request.id()));
-        forgetIfOver(r);
+        cancelUnsentAttempts(openRequest);
+        deliver((now, m) -> m.clientDisconnected(now, openRequest.request.id()));
+        removeIfDone(openRequest);
     }
 
     /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
-    void attemptEnded(Attempt a, Outcome outcome, FullHttpResponse response) {
-        if (a.ended) {
+    void attemptEnded(Attempt attempt, Outcome outcome, FullHttpResponse response) {
+        if (attempt.ended) {
             return;
         }
-        a.ended = true;
-        OpenRequest r = a.owner;
+        attempt.ended = true;
+        OpenRequest openRequest = attempt.owner;
         if (outcome == Outcome.OK) {
-            ClientConnection client = close(r);
+            ClientConnection client = closeRequest(openRequest);
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
-                metrics.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
+                metrics.recordResult(openRequest.request.requestClass(), Metrics.Result.SUCCESS);
                 client.sendResponse(response);
             }
         }
-        finished(a, outcome, response);
+        reportAttempt(attempt, outcome, response);
     }
 
     /** What the module learns of an attempt; the head of the answer, where there is one, may tell more. */
-    private void finished(Attempt a, Outcome outcome, HttpResponse response) {
+    private void reportAttempt(Attempt attempt, Outcome outcome, HttpResponse response) {
         tally.addAttempt(outcome);
-        OpenRequest r = a.owner;
-        r.attemptsInFlight--;
-        boolean closed = r.closed();
-        double took = clock.now() - a.sentAt;
-        double[] report = response == null ? NO_REPORT : hostClient.loadMetrics(response);
+        OpenRequest openRequest = attempt.owner;
+        openRequest.attemptsInFlight--;
+        boolean closed = openRequest.closed();
+        double latencyMs = clock.now() - attempt.sentAt;
+        double[] loadMetrics = response == null ? NO_LOAD_METRICS : hostClient.loadMetrics(response);
         int usedPct = response == null ? 0 : hostClient.usedPct(response);
-        tell((now, m) -> m.attemptEnded(
-                now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, usedPct, 0, report)));
-        forgetIfOver(r);
+        deliver((now, m) -> m.attemptEnded(
+                now,
+                new AttemptResult(
+                        openRequest.request.id(),
+                        attempt.number,
+                        attempt.host,
+                        outcome,
+                        latencyMs,
+                        closed,
+                        usedPct,
+                        0,
+                        loadMetrics)));
+        removeIfDone(openRequest);
     }
 
     /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
-    private ClientConnection close(OpenRequest r) {
-        if (!r.closed()) {
+    private ClientConnection closeRequest(OpenRequest openRequest) {
+        if (!openRequest.closed()) {
             metrics.requestClosed();
         }
-        return r.close();
+        return openRequest.close();
     }
 
     /**
      * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
      * where no client waits for it. The request counts as open until the transfer ends.
      */
-    ResponseTransfer responseStarted(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
-        if (a.ended) {
+    ResponseTransfer responseStarted(Attempt attempt, HttpResponse head, ResponseTransfer.Source source) {
+        if (attempt.ended) {
             return null;
         }
-        a.ended = true;
-        OpenRequest r = a.owner;
-        ClientConnection client = r.close();
+        attempt.ended = true;
+        OpenRequest openRequest = attempt.owner;
+        ClientConnection client = openRequest.close();
         ResponseTransfer transfer =
-                client == null ? null : new ResponseTransfer(this, r.request.requestClass(), client, source);
+                client == null ? null : new ResponseTransfer(this, openRequest.request.requestClass(), client, source);
         if (transfer != null) {
             client.beginResponse(head, transfer);
         }
-        finished(a, Outcome.OK, head);
+        reportAttempt(attempt, Outcome.OK, head);
         return transfer;
     }
 
@@ -644,86 +658,92 @@
         }
     }
 
-    private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.attemptsInFlight == 0 && openRequests.remove(r.request.id(), r)) {
-            r.deadlineTimer.cancel(false);
-            r.message.release();
+    private void removeIfDone(OpenRequest openRequest) {
+        if (openRequest.closed()
+                && openRequest.attemptsInFlight == 0
+                && openRequests.remove(openRequest.request.id(), openRequest)) {
+            openRequest.deadlineTimer.cancel(false);
+            openRequest.message.release();
         }
     }
 
     void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
-        Runnable turnBack = hostClient.updateHosts(kind, entries);
+        Runnable rejectWaiting = hostClient.updateHosts(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
-        tell((now, m) -> m.hostsUpdated(now, kind, list));
-        turnBack.run();
+        deliver((now, m) -> m.hostsUpdated(now, kind, list));
+        rejectWaiting.run();
     }
 
-    void probeEnded(String host, Outcome outcome, double took, double[] report) {
-        tell((now, m) -> m.probeEnded(now, host, outcome, took, report));
+    void probeEnded(String host, Outcome outcome, double latencyMs, double[] loadMetrics) {
+        deliver((now, m) -> m.probeEnded(now, host, outcome, latencyMs, loadMetrics));
     }
 
     void counterCallEnded(String name, Outcome outcome, double total) {
         tally.addCounterCall(outcome);
-        tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
+        deliver((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
     void peerMessageReceived(int peer, byte[] data) {
-        tell((now, m) -> m.peerMessageReceived(now, peer, data));
+        deliver((now, m) -> m.peerMessageReceived(now, peer, data));
     }
 
     // ---- what the module does
 
     @Override
     public void send(String id, String host, double timeoutMs) {
-        OpenRequest r = openRequests.get(id);
-        if (r == null) {
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest == null) {
             return;
         }
         double now = clock.now();
-        Attempt a = new Attempt(this, r, host, now);
-        r.attempts.add(a);
-        r.attemptsInFlight++;
-        if (!maySend(a)) {
+        Attempt attempt = new Attempt(this, openRequest, host, now);
+        openRequest.attempts.add(attempt);
+        openRequest.attemptsInFlight++;
+        if (!maySend(attempt)) {
             return;
         }
         if (timeoutMs > 0) {
-            loop.schedule(() -> giveUp(a, Outcome.TIMEOUT), micros(timeoutMs), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> abandonAttempt(attempt, Outcome.TIMEOUT), toMicros(timeoutMs), TimeUnit.MICROSECONDS);
         }
-        hostClient.send(a);
+        hostClient.send(attempt);
     }
 
     /** Whether an attempt may go out now; one that may not has ended without having run. */
-    boolean maySend(Attempt a) {
+    boolean maySend(Attempt attempt) {
         DispatchRule.Verdict verdict = DispatchRule.check(
-                a.owner, a.number, clock.now(), config.settings().limits().maxAttempts(), drainExpired);
+                attempt.owner,
+                attempt.number,
+                clock.now(),
+                config.settings().limits().maxAttempts(),
+                drainExpired);
         if (verdict == DispatchRule.Verdict.ALLOWED) {
             return true;
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientDisconnected(a.owner); // ends all attempts that have not begun
+            clientDisconnected(attempt.owner); // ends all attempts that have not begun
         }
-        if (!a.ended) {
-            a.abandon();
-            attemptEnded(a, Outcome.MOOT, null);
+        if (!attempt.ended) {
+            attempt.abandon();
+            attemptEnded(attempt, Outcome.MOOT, null);
         }
         return false;
     }
 
     /** Checks at run time what {@link #maySend} has decided: no byte leaves for a request that has ended. */
-    void checkBeforeWrite(Attempt a) {
-        if (a.ended || a.owner.closed() || drainExpired) {
+    void checkBeforeWrite(Attempt attempt) {
+        if (attempt.ended || attempt.owner.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
-            log("defect: request " + a.owner.traceId + " sent to " + a.host + " after its end");
+            log("defect: request " + attempt.owner.traceId + " sent to " + attempt.host + " after its end");
         }
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        OpenRequest r = openRequests.get(id);
-        if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
-            giveUp(r.attempts.get(attempt), Outcome.CANCELLED);
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null && attempt >= 0 && attempt < openRequest.attempts.size()) {
+            abandonAttempt(openRequest.attempts.get(attempt), Outcome.CANCELLED);
         }
     }
 
@@ -732,31 +752,32 @@
         if (openRequests.containsKey(id)) {
             tally.addRefusal(why);
         }
-        answer(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
+        respond(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
-        answer(openRequests.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
+        respond(openRequests.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
-    private void answer(OpenRequest r, HttpResponseStatus status, double retryAfterMs) {
-        ClientConnection client = r == null ? null : close(r);
+    private void respond(OpenRequest openRequest, HttpResponseStatus status, double retryAfterMs) {
+        ClientConnection client = openRequest == null ? null : closeRequest(openRequest);
         if (client != null) {
             boolean refused = status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
-            metrics.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
+            metrics.recordResult(
+                    openRequest.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
             client.respond(status, retryAfterMs);
         }
-        if (r != null) {
-            forgetIfOver(r);
+        if (openRequest != null) {
+            removeIfDone(openRequest);
         }
     }
 
     @Override
     public void startTimer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, m) -> m.timerFired(now, token)), toMicros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -815,14 +836,16 @@
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
     void endOpenRequests() {
         drainExpired = true;
-        for (OpenRequest r : List.copyOf(openRequests.values())) {
-            endAttempts(r); // the module refuses or fails it, as its further attempts are void now
-        }
-        for (OpenRequest r : List.copyOf(openRequests.values())) {
-            if (!r.closed()) { // still held: what was never sent is refused, as coming again does no harm
-                answer(
-                        r,
-                        r.attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
+        for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
+            timeOutAttempts(openRequest); // the module refuses or fails it, as its further attempts are void now
+        }
+        for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
+            if (!openRequest.closed()) { // still held: what was never sent is refused, as coming again does no harm
+                respond(
+                        openRequest,
+                        openRequest.attempts.isEmpty()
+                                ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                                : HttpResponseStatus.BAD_GATEWAY,
                         0);
             }
         }
@@ -839,22 +862,22 @@
      * left to it.
      */
     private void stopAccepting(double latest) {
-        boolean leftToOther = clientServer.sharesListener() && servingProcesses > 1;
-        boolean allAccepted = leftToOther || clientServer.acceptQueued();
-        boolean stirs = !leftToOther && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
-        if ((stirs || !allAccepted) && clock.now() < latest) {
+        boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
+        boolean allAccepted = servedBySibling || clientServer.acceptQueued();
+        boolean recentlyActive = !servedBySibling && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
+        if ((recentlyActive || !allAccepted) && clock.now() < latest) {
             loop.schedule(() -> stopAccepting(latest), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         clientServer.stopAccepting();
-        awaitEmpty();
+        awaitAllAnswered();
     }
 
-    private void awaitEmpty() {
+    private void awaitAllAnswered() {
         if (openRequests.isEmpty() && clientServer.hasNoConnections()) {
             drained.countDown();
         } else {
-            loop.schedule(this::awaitEmpty, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::awaitAllAnswered, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -183,7 +183,7 @@
                 folder.resolve("config.json"), TestEndpoints.config(old.server.address(), "127.0.0.1:0"));
         Node node = new Node(NodeConfig.read(file.toString()));
         closeables.push(node::stop);
-        node.configuredBy(file);
+        node.setConfigFile(file);
         node.start();
         Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
         old.close();
