--- a/src/test/java/deckfall/net/CallTimingTest.java
+++ b/src/test/java/deckfall/net/CallTimingTest.java
@@ -8,11 +8,12 @@
 
 /** When a change is heard of behind calls that failed, on a clock of the test's own. */
 class CallTimingTest {
-    private static final long TOLD_MS = 6000; // from when discovery had it and could be reached
+    private static final long DEADLINE_MS = 6000; // from when discovery had it and could be reached
     private static final long MARGIN_MS = 1000;
-    private static final long GOOD_MS = 400; // what the connect and the call that tell may take on a busy core
-    private static final long BROKEN_MS = 50; // a call's end that is no silence
-    private static final long LONGEST_SPELL_MS = 12_000;
+    private static final long SUCCESSFUL_CALL_MS =
+            400; // what the connect and the call that tell may take on a busy core
+    private static final long IMMEDIATE_FAILURE_MS = 50; // a call's end that is no silence
+    private static final long MAX_OUTAGE_MS = 12_000;
     private static final long STEP_MS = 10;
     private static final int SEEDS = 5;
 
@@ -24,37 +25,37 @@
         UNAVAILABLE
     }
 
-    private static long failsAfterMs(Failure how, CallTiming timing) {
-        return switch (how) {
+    private static long failsAfterMs(Failure failure, CallTiming timing) {
+        return switch (failure) {
             case SILENT -> timing.holdMs() + timing.timeoutMs();
             case HANGING_CONNECT -> timing.timeoutMs();
-            case REFUSED, RESET, UNAVAILABLE -> BROKEN_MS;
+            case REFUSED, RESET, UNAVAILABLE -> IMMEDIATE_FAILURE_MS;
         };
     }
 
     /** From the end of a spell in which each call that begins fails, and one further call that fails, to the news. */
-    private static long heardAfterMs(long spellMs, Failure spell, Failure further, long seed) {
+    private static long changeArrivesAfterMs(long outageMs, Failure outage, Failure further, long seed) {
         CallTiming timing = new CallTiming(new Random(seed));
         timing.onSuccess(); // the watch has been opened as the spell begins
         long now = 0;
         for (boolean over = false; !over; ) {
-            over = now >= spellMs;
-            now += failsAfterMs(over ? further : spell, timing);
+            over = now >= outageMs;
+            now += failsAfterMs(over ? further : outage, timing);
             now += timing.delayAfterFailureMs();
         }
-        return now + GOOD_MS - spellMs;
+        return now + SUCCESSFUL_CALL_MS - outageMs;
     }
 
     @Test
-    void aChangeIsHeardOfInTimeWhateverCallsWentBefore() {
-        for (Failure spell : Failure.values()) {
+    void changeArrivesInTimeAfterAnyFailures() {
+        for (Failure outage : Failure.values()) {
             for (Failure further : Failure.values()) {
-                for (long spellMs = 1; spellMs < LONGEST_SPELL_MS; spellMs += STEP_MS) {
+                for (long outageMs = 1; outageMs < MAX_OUTAGE_MS; outageMs += STEP_MS) {
                     for (int seed = 0; seed < SEEDS; seed++) {
-                        long ms = heardAfterMs(spellMs, spell, further, seed);
+                        long ms = changeArrivesAfterMs(outageMs, outage, further, seed);
                         assertTrue(
-                                ms <= TOLD_MS - MARGIN_MS,
-                                ms + " ms after " + spellMs + " ms of " + spell + " and " + further);
+                                ms <= DEADLINE_MS - MARGIN_MS,
+                                ms + " ms after " + outageMs + " ms of " + outage + " and " + further);
                     }
                 }
             }
@@ -63,7 +64,7 @@
 
     /** A slow discovery is given more time in a while than one that was silent once, or it would never be heard. */
     @Test
-    void aSpellOfFailuresHasCallsOfMorePatience() {
+    void repeatedFailuresLengthenSomeTimeouts() {
         CallTiming timing = new CallTiming(new Random(1));
         long first = timing.timeoutMs();
         timing.delayAfterFailureMs();
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void aWatchGoesOnInTimeWhereEachAnswerEndsItsConnection() {
+    void watchContinuesWhenEachResponseClosesItsConnection() {
         CallTiming timing = new CallTiming(new Random(1));
         for (int i = 0; i < 10; i++) {
             timing.onSuccess();
--- a/src/test/java/deckfall/net/ConfigReloaderTest.java
+++ b/src/test/java/deckfall/net/ConfigReloaderTest.java
@@ -20,7 +20,7 @@
 
     /** After a read that failed for the moment the gateway stayed at its old discovery until the next signal. */
     @Test
-    void aFileThatCanNotBeReadJustNowIsReadAgain() throws Exception {
+    void temporarilyUnreadableFileIsReadAgain() throws Exception {
         Path file = Files.createDirectory(folder.resolve("config.json")); // a read fails with EISDIR
         new ConfigReloader(file, changed::add).reload();
         Files.delete(file);
--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRequestGoesOutUntilItsDeadlineAndItsLastAttempt() {
+    void attemptIsAllowedUntilTheDeadlineAndTheAttemptLimit() {
         assertEquals(Verdict.ALLOWED, check(MAX_ATTEMPTS - 1, DEADLINE - 1, false));
         assertEquals(Verdict.ATTEMPTS_USED, check(MAX_ATTEMPTS, DEADLINE - 1, false));
         assertEquals(Verdict.DEADLINE_PASSED, check(0, DEADLINE, false));
@@ -35,13 +35,13 @@
     }
 
     @Test
-    void aRequestThatHasEndedGoesNowhere() {
+    void endedRequestIsNotSent() {
         request.close();
         assertEquals(Verdict.ENDED, check(0, 0, false));
     }
 
     @Test
-    void aBodyThatWasPassedOnIsNotSentAgain() {
+    void streamedBodyIsNotSentAgain() {
         request.message.streamTo(new IncomingRequest.BodyReceiver() {
             @Override
             public void writeBody(io.netty.buffer.ByteBuf content) {
--- a/src/test/java/deckfall/net/FailureStreakTest.java
+++ b/src/test/java/deckfall/net/FailureStreakTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void aSpellLastsFromItsFirstFailureToTheNextSuccess() {
+    void streakLastsFromFirstFailureToNextSuccess() {
         assertEquals(0, streak.recordFailure());
         advanceMs(30);
         assertEquals(30, streak.recordFailure());
@@ -29,7 +29,7 @@
 
     /** A read that failed with nothing to read made the client's next request, seconds later, overdue by as much. */
     @Test
-    void aFailureLongAgoIsOfNoSpell() {
+    void oldFailureStartsNoStreak() {
         streak.recordFailure();
         advanceMs(3000);
         assertFalse(streak.isActive());
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -14,10 +14,10 @@
 
 /** The datagrams between gateways while system calls fail. */
 class PeerLinkTest {
-    private static final int TRIES = 300;
-    private static final int BYTES = 7;
+    private static final int MAX_SENDS = 300;
+    private static final int MESSAGE_BYTES = 7;
 
-    private final BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Integer> receivedSizes = new LinkedBlockingQueue<>();
 
     private Node node(DiscoveryServer registry, int port, DatagramSocket peer) throws Exception {
         String config = TestEndpoints.config(
@@ -25,7 +25,7 @@
         return TestEndpoints.node(config, act -> new ScriptedModule((now, r) -> {}) {
             @Override
             public void peerMessageReceived(double now, int from, byte[] data) {
-                heard.add(data.length);
+                receivedSizes.add(data.length);
             }
         });
     }
@@ -38,7 +38,7 @@
 
     /** A read that failed for a moment closed the channel, and no peer was heard again. */
     @Test
-    void peersAreHeardAgainAfterTheirChannelClosed() throws Exception {
+    void messagesArriveAfterTheChannelWasClosed() throws Exception {
         int port = freePort();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
@@ -46,12 +46,12 @@
             node.loop.submit(() -> node.peerLink().channel().close()).sync();
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             Integer size = null;
-            for (int i = 0; i < TRIES && size == null; i++) { // what comes to a closed port is lost
-                peer.send(new DatagramPacket(new byte[BYTES], BYTES, to));
-                size = heard.poll(100, TimeUnit.MILLISECONDS);
+            for (int i = 0; i < MAX_SENDS && size == null; i++) { // what comes to a closed port is lost
+                peer.send(new DatagramPacket(new byte[MESSAGE_BYTES], MESSAGE_BYTES, to));
+                size = receivedSizes.poll(100, TimeUnit.MILLISECONDS);
             }
             node.stop();
-            assertEquals(BYTES, size);
+            assertEquals(MESSAGE_BYTES, size);
         }
     }
 }
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -100,11 +100,11 @@
 
     /** The event loop once died of this: the warning that no descriptor was left itself needed one. */
     @Test
-    void runningOutOfDescriptorsPasses() throws Exception {
+    void processSurvivesRunningOutOfDescriptors() throws Exception {
         startServing();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
+            connections.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         Path log = dir.resolve("log");
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
@@ -112,7 +112,7 @@
             assertTrue(System.nanoTime() < end, "descriptors did not run out");
             Thread.sleep(20);
         }
-        for (Socket s : crowd) {
+        for (Socket s : connections) {
             s.close();
         }
         awaitReady();
@@ -120,15 +120,15 @@
 
     /** Netty tells of a connect without a descriptor on a thread of its own, on which the module must not run. */
     @Test
-    void aConnectForWhichNoDescriptorIsLeftIsAFailedAttempt() throws Exception {
+    void connectWithoutDescriptorIsAFailedAttempt() throws Exception {
         try (ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             known = TestEndpoints.hostList(
                     0, true, TestEndpoints.hostEntry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"));
             startServing();
-            List<Socket> crowd = new ArrayList<>();
+            List<Socket> connections = new ArrayList<>();
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                    connections.add(new Socket(InetAddress.getLoopbackAddress(), port));
                 }
                 awaitLog("Too many open files");
                 client.setSoTimeout(TestEndpoints.TIMEOUT_MS);
@@ -137,14 +137,14 @@
                 int status = TestEndpoints.readMessage(client.getInputStream()).status();
                 assertTrue(status == 429 || status == 502, Integer.toString(status)); // 504 comes with the time's end
             }
-            for (Socket s : crowd) {
+            for (Socket s : connections) {
                 s.close();
             }
         }
     }
 
     @Test
-    void itHasRehearsedOnceItIsReady() throws Exception {
+    void processHasWarmedUpBeforeItIsReady() throws Exception {
         startServing();
         awaitLog("rehearsed");
         String log = Files.readString(dir.resolve("log"));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void oneLineTellsHowLongEachPartOfAStartTook() throws Exception {
+    void logReportsDurationOfEachStartupPhase() throws Exception {
         startServing();
         awaitLog("listener ");
         String line = Files.readAllLines(dir.resolve("log")).stream()
@@ -165,7 +165,7 @@
                 line);
     }
 
-    private void hangup() throws Exception {
+    private void sendSighup() throws Exception {
         signal("HUP", process.pid());
     }
 
@@ -178,16 +178,16 @@
     }
 
     @Test
-    void sighupMovesItToTheNewDiscovery() throws Exception {
+    void sighupSwitchesToTheNewDiscoveryAddress() throws Exception {
         try (DiscoveryServer first = new DiscoveryServer(TestEndpoints.hostList(1, true));
                 DiscoveryServer second = new DiscoveryServer(TestEndpoints.hostList(7, true))) {
             startServing(first.server.address());
             awaitLog("rehearsed"); // only after this line is the signal heard
             Files.writeString(dir.resolve("config.json"), "half a conf");
-            hangup();
+            sendSighup();
             awaitLog("left as it was");
             Files.writeString(dir.resolve("config.json"), config(second.server.address()));
-            hangup();
+            sendSighup();
             Message whole = second.server.nextRequest();
             assertEquals("GET /v1/servers HTTP/1.1", whole.start());
             assertTrue(second.server.nextRequest().start().contains("from=7&"));
@@ -197,7 +197,7 @@
 
     /** A signal that came during the warm-up ended the process, or was not acted on. */
     @Test
-    void sighupDuringTheStartIsActedOnAfterIt() throws Exception {
+    void sighupDuringStartupIsHandledAfterStartup() throws Exception {
         try (DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true));
                 ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket operator = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -208,7 +208,7 @@
             start(config(registry.server.address())
                     .replace("{\"name\"", "{\"operator\": \"127.0.0.1:" + operatorPort + "\", \"name\""));
             awaitOpen(operatorPort);
-            hangup();
+            sendSighup();
             awaitReady();
             awaitLog("configuration read again");
         }
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void sigtermEndsItInOrder() throws Exception {
+    void sigtermExitsWithStatusZero() throws Exception {
         startServing();
         process.destroy();
         assertTrue(process.waitFor(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -238,12 +238,12 @@
      * of the first costs neither a connection nor its own last line on standard error.
      */
     @Test
-    void aReplacementServesOnAtTheInheritedListener() throws Exception {
+    void replacementProcessServesOnTheInheritedListener() throws Exception {
         Path config = Files.writeString(dir.resolve("config.json"), TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0"));
         ProcessBuilder built = new ProcessBuilder(
                         "perl",
                         "-e",
-                        PLATFORM,
+                        SUPERVISOR,
                         java(),
                         "-XX:+UseSerialGC",
                         "-cp",
@@ -252,15 +252,15 @@
                         "serve")
                 .redirectError(dir.resolve("log").toFile());
         built.environment().put("TMPDIR", dir.toString());
-        Process platform = built.start();
-        try (BufferedReader said = platform.inputReader()) {
-            port = Integer.parseInt(said.readLine());
-            process = platform;
-            OutputStream orders = platform.getOutputStream();
-            long first = spawn(orders, said, config);
+        Process supervisor = built.start();
+        try (BufferedReader replies = supervisor.inputReader()) {
+            port = Integer.parseInt(replies.readLine());
+            process = supervisor;
+            OutputStream commands = supervisor.getOutputStream();
+            long first = spawn(commands, replies, config);
             awaitLines("rehearsed requests", 1);
             awaitReady();
-            long second = spawn(orders, said, config);
+            long second = spawn(commands, replies, config);
             awaitLines("rehearsed requests", 2);
             awaitLines("processes serving as this gateway: 2", 2);
             signal("TERM", first);
@@ -273,12 +273,12 @@
             signal("TERM", second);
             awaitLines("ended, all answered", 2);
         } finally {
-            platform.destroy();
+            supervisor.destroy();
         }
     }
 
     /** Holds a listener; for each line, a configuration's name, starts the program on it as descriptor 0. */
-    private static final String PLATFORM = """
+    private static final String SUPERVISOR = """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(L, PF_INET, SOCK_STREAM, 0) && bind(L, sockaddr_in(0, INADDR_LOOPBACK)) && listen(L, 64) or die;
             print +(sockaddr_in(getsockname(L)))[0], "\\n";
@@ -294,10 +294,10 @@
             }
             """;
 
-    private static long spawn(OutputStream orders, BufferedReader said, Path config) throws IOException {
-        orders.write(TestEndpoints.bytes(config + "\n"));
-        orders.flush();
-        return Long.parseLong(said.readLine());
+    private static long spawn(OutputStream commands, BufferedReader replies, Path config) throws IOException {
+        commands.write(TestEndpoints.bytes(config + "\n"));
+        commands.flush();
+        return Long.parseLong(replies.readLine());
     }
 
     private void awaitLines(String part, int count) throws Exception {
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void aBadConfigurationEndsItWithOneLine() throws Exception {
+    void invalidConfigurationExitsWithOneLogLine() throws Exception {
         start("{\"name\": \"n0\"}");
         assertTrue(process.waitFor(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
--- a/src/test/java/deckfall/net/SiblingFilesTest.java
+++ b/src/test/java/deckfall/net/SiblingFilesTest.java
@@ -20,7 +20,7 @@
     private Path folder;
 
     @Test
-    void eachProcessReadsTheOthersAndNotItself() throws Exception {
+    void processReadsSiblingsAndNotItself() throws Exception {
         SiblingFiles one = new SiblingFiles(folder, 1);
         SiblingFiles two = new SiblingFiles(folder, 2);
         one.write(new Status(1, NOW, true, 5, 6, CUSTOMERS));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatIsOldDamagedOrHalfThereIsPassedOver() throws Exception {
+    void oldDamagedOrPartialFilesAreSkipped() throws Exception {
         new SiblingFiles(folder, 1).write(new Status(1, NOW - 60_000, true, 5, 6, CUSTOMERS));
         Files.writeString(folder.resolve("gateway-3.json"), "{\"pid\": 3, \"atMs\"");
         Files.writeString(folder.resolve("gateway-4.json"), "null");
@@ -45,13 +45,13 @@
     }
 
     @Test
-    void aFolderThatIsGoneIsNoOtherProcess() throws Exception {
+    void missingFolderMeansNoSiblings() throws Exception {
         assertEquals(List.of(), new SiblingFiles(folder.resolve("none"), 2).presentSiblings(NOW));
     }
 
     /** A process whose disk was full for a while was taken for gone, and the other one's limits for its own alone. */
     @Test
-    void aProcessThatLivesAndCanNotWriteIsStillThere() throws Exception {
+    void liveProcessThatCannotWriteStaysPresent() throws Exception {
         long alive = ProcessHandle.current().pid();
         Status status = new Status(alive, NOW, true, 5, 6, CUSTOMERS);
         new SiblingFiles(folder, alive).write(status);
@@ -61,7 +61,7 @@
 
     /** The same where its file, or the folder, could not be read. */
     @Test
-    void whatCanNotBeReadJustNowIsAsItWasBefore() throws Exception {
+    void unreadableFileKeepsItsLastContents() throws Exception {
         Status status = new Status(1, NOW, true, 5, 6, CUSTOMERS);
         new SiblingFiles(folder, 1).write(status);
         SiblingFiles two = new SiblingFiles(folder, 2);
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -66,7 +66,7 @@
 
     /** The thread ended with the first unchecked exception, and no other process was told of this one again. */
     @Test
-    void aLookThatFailsIsFollowedByOthers() throws IOException {
+    void pollingContinuesAfterAFailure() throws IOException {
         SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0));
         failing = true;
         watch.poll();
@@ -78,7 +78,7 @@
 
     /** A folder in which nothing can be written still tells of the other process. */
     @Test
-    void theOtherProcessIsSeenWhereThisOneCanNotWrite() throws IOException {
+    void siblingIsSeenWhenOwnFileCannotBeWritten() throws IOException {
         new SiblingFiles(folder, OTHER_PID).write(status(true));
         Files.createDirectory(folder.resolve("gateway-2.part"));
         new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0)).poll();
@@ -87,7 +87,7 @@
 
     /** After a step of the wall clock the times of the memory were off by as much, and the process was not seen. */
     @Test
-    void aStepOfTheWallClockBetweenTwoStartsMovesNoTimeOfTheMemory() throws IOException {
+    void wallClockStepBetweenStartsDoesNotShiftStateTimes() throws IOException {
         ManualClock before = new ManualClock();
         ManualClock after = new ManualClock();
         before.frozen = true;
--- a/src/test/java/deckfall/net/StartupTimesTest.java
+++ b/src/test/java/deckfall/net/StartupTimesTest.java
@@ -7,7 +7,7 @@
 /** What a start's line tells. */
 class StartupTimesTest {
     @Test
-    void eachPartIsTimedFromTheEndOfTheOneBefore() {
+    void eachPhaseIsTimedFromTheEndOfThePreviousOne() {
         ManualClock clock = new ManualClock();
         clock.frozen = true;
         StartupTimes times = new StartupTimes(clock);
--- a/src/test/java/deckfall/net/WarmUpTest.java
+++ b/src/test/java/deckfall/net/WarmUpTest.java
@@ -22,13 +22,13 @@
 
     /** A request that no client sent must reach no host, and no client may reach a rehearsal: its address is taken. */
     @Test
-    void itPlaysRequestsThatReachNobodyElse() throws Exception {
-        try (ServerSocket mine = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    void warmUpRequestsReachNoHostAndNoDiscovery() throws Exception {
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
                 DiscoveryServer registry = new DiscoveryServer(
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
             String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
-                    .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + mine.getLocalPort() + "\", \"disc");
+                    .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + listener.getLocalPort() + "\", \"disc");
             assertTrue(WarmUp.warmUp(config(text), false) > 0);
             assertEquals(List.of(), host.requests);
             assertEquals(List.of(), registry.server.requests);
@@ -37,7 +37,7 @@
 
     /** Settings without plans hold nobody to a quota; the start once divided by their number. */
     @Test
-    void withoutPlansItRehearsesAndServes() throws Exception {
+    void warmUpAndServingWorkWithoutPlans() throws Exception {
         try (Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
                 DiscoveryServer registry = new DiscoveryServer(
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
@@ -57,13 +57,13 @@
 
     /** Its clients come to a closed port meanwhile, and many gateways may be away at once. */
     @Test
-    void aGatewayThatIsMissedDoesNotRehearse() throws Exception {
+    void warmUpIsSkippedWhenClientsAreWaiting() throws Exception {
         String text = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0");
         assertEquals(0, WarmUp.warmUp(config(text), true));
     }
 
     @Test
-    void aRehearsingNodeLetsNoClientIn() throws Exception {
+    void healthCheckFailsDuringWarmUp() throws Exception {
         Node node = new Node(config(TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")));
         node.markAsWarmUp();
         node.start();
