--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    ResponseTransfer started(HttpResponse head, ResponseTransfer.Source source) {
+    ResponseTransfer responseStarted(HttpResponse head, ResponseTransfer.Source source) {
         return node.responseStarted(this, head, source);
     }
 }
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -145,7 +145,7 @@
         }
 
         /** An answer too long to be kept has begun; null where nobody waits for such a one. */
-        ResponseTransfer started(HttpResponse head, ResponseTransfer.Source source) {
+        ResponseTransfer responseStarted(HttpResponse head, ResponseTransfer.Source source) {
             return null;
         }
 
@@ -247,7 +247,7 @@
     }
 
     /** How many hosts the list names. */
-    int updateHosts() {
+    int hostCount() {
         return pools.size();
     }
 
@@ -655,7 +655,7 @@
         /** Begins to pass the answer on, if it is one that a client waits for. */
         private boolean startTransfer() {
             boolean success = requestWritten && outcome(responseHead) == Outcome.OK;
-            transfer = success ? exchange.started(responseHead, this) : null;
+            transfer = success ? exchange.responseStarted(responseHead, this) : null;
             if (transfer == null) {
                 return false;
             }
@@ -724,9 +724,9 @@
         }
 
         @Override
-        public void setReading(boolean on) {
-            if (channel.config().isAutoRead() != on) {
-                channel.config().setAutoRead(on);
+        public void setReading(boolean reading) {
+            if (channel.config().isAutoRead() != reading) {
+                channel.config().setAutoRead(reading);
             }
         }
 
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -123,7 +123,7 @@
         configureLogging();
         StartupTimes startupTimes = new StartupTimes(new Clock());
         try {
-            NodeConfig config = config(configFile);
+            NodeConfig config = readConfig(configFile);
             startupTimes.phaseEnded("configuration");
             ServerSocketChannel inherited = InheritedListener.fromEnvironment();
             Node node = StartupRetry.withRetries("no event loop", () -> new Node(config));
@@ -166,7 +166,7 @@
     }
 
     /** The configuration, read again for a while where the file can't be read. */
-    private static NodeConfig config(String file) throws NodeConfig.InvalidConfigException, IOException {
+    private static NodeConfig readConfig(String file) throws NodeConfig.InvalidConfigException, IOException {
         try {
             return NodeConfig.read(file);
         } catch (NodeConfig.InvalidConfigException e) {
@@ -414,7 +414,7 @@
     }
 
     private void updateHostMetrics() {
-        metrics.targets(hostClient.updateHosts(), module.avoidedHostCount(clock.now()));
+        metrics.targets(hostClient.hostCount(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -510,7 +510,9 @@
 
     private void scheduleDeadline(OpenRequest openRequest) {
         openRequest.deadlineTimer = loop.schedule(
-                () -> deadline(openRequest), toMicros(openRequest.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
+                () -> deadlineReached(openRequest),
+                toMicros(openRequest.deadlineMs - clock.now()),
+                TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come that was taken before. */
@@ -536,7 +538,7 @@
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
-    private void deadline(OpenRequest openRequest) {
+    private void deadlineReached(OpenRequest openRequest) {
         timeOutAttempts(openRequest);
         if (!openRequest.closed()) {
             log("defect: no answer from the module in time, request failed");
