--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -78,7 +78,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        node.loopDelay.observeDelayMs();
+        node.eventLoopLag.observeDelayMs();
         server.connectionOpened(this);
         lastUsedMs = node.clock.now();
         partialHeadSinceMs = lastUsedMs; // a stranger's time counts from its connecting
@@ -159,7 +159,8 @@
         server.setIdle(this, false);
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished); // its body will not become whole, or nothing shows whether its client waits
+            node.clientDisconnected(
+                    unfinished); // its body will not become whole, or nothing shows whether its client waits
         }
         respond(status, 0);
     }
@@ -167,7 +168,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         server.connectionClosed(this);
-        node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
+        node.connectionClosed(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
         discardQueue();
         closing = true;
         if (readPauseTimeout != null) {
@@ -176,7 +177,7 @@
         OpenRequest unfinished = openRequest;
         openRequest = null;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         if (transfer != null) {
             transfer.clientLeft();
@@ -196,7 +197,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        double delayMs = Math.max(node.loopDelay.observeDelayMs(), channel.readDelayMs());
+        double delayMs = Math.max(node.eventLoopLag.observeDelayMs(), channel.readDelayMs());
         queue.add(new QueuedMessage((HttpObject) message, node.clock.now() - delayMs));
         addQueuedBytes(sizeBytes(message));
     }
@@ -250,7 +251,7 @@
 
     private void addQueuedBytes(int bytes) {
         queuedBytes += bytes;
-        node.room.reserve(bytes);
+        node.memoryBudget.reserve(bytes);
     }
 
     private void discardQueue() {
@@ -284,7 +285,9 @@
         boolean autoRead = incoming != null && !closing
                 ? incoming.acceptsMore()
                 : queuedBytes
-                        < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MAX_READ_AHEAD_BYTES);
+                        < (node.memoryBudget.nearlyExhausted()
+                                ? IncomingRequest.MAX_SMALL_BODY_BYTES
+                                : MAX_READ_AHEAD_BYTES);
         if (channel.config().isAutoRead() != autoRead) {
             channel.config().setAutoRead(autoRead);
         }
@@ -327,7 +330,7 @@
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
-        incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
+        incoming = new IncomingRequest(head, originForm(head.uri()), node.memoryBudget, node.clock.now());
         incoming.onAcceptsMore(this::updateAutoRead);
         if (incoming.tooLong()) {
             respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
@@ -378,7 +381,7 @@
         keepAlive = false;
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         respond(HttpResponseStatus.BAD_REQUEST, 0);
     }
@@ -387,7 +390,7 @@
         message.markComplete();
         if (openRequest != null) { // taken before
             Request request = server.requestReader().read(message, messageReadMs);
-            node.bodyCame(openRequest, request.deadlineMs());
+            node.bodyReceived(openRequest, request.deadlineMs());
         } else if (message.uri.equals(READINESS_PATH)) {
             message.release();
             respond(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
@@ -405,7 +408,7 @@
             message.release();
             refuseOverload(request);
         } else {
-            node.taken(request, message, this);
+            node.requestReceived(request, message, this);
         }
     }
 
@@ -418,11 +421,11 @@
     }
 
     private boolean refusesNewRequests() {
-        return node.full() || node.room.exhausted() || node.over();
+        return node.openLimitReached() || node.memoryBudget.exhausted() || node.drainExpired();
     }
 
     private void refuseOverload(Request request) {
-        node.figures.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
+        node.metrics.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
         respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
@@ -518,9 +521,9 @@
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
         setConnectionHeader(response);
         if (closing || bytes > MAX_UNCOUNTED_RESPONSE_BYTES) {
-            node.room.reserve(bytes); // until a slow client has taken it
+            node.memoryBudget.reserve(bytes); // until a slow client has taken it
             ChannelFuture sent = channel.writeAndFlush(response);
-            sent.addListener(f -> node.room.release(bytes));
+            sent.addListener(f -> node.memoryBudget.release(bytes));
             responseWritten(sent);
         } else {
             channel.writeAndFlush(response, channel.voidPromise());
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -44,112 +44,114 @@
  * table of open requests. It carries out what the module decides and tells it what came of it.
  */
 public final class Node implements Actions {
-    private static final double MARGIN_MS = 20; // the answer must reach the client within its time
-    private static final long EXIT_MS = 30_000; // after SIGTERM: long answers have had their time, if there is any
-    private static final long LAST_WORD_MS = 100; // for the last figures to be logged
-    private static final long POLL_MS = 20; // how often a drain looks whether all is answered
-    private static final long SURVEY_MS = 100; // how often the figures on hosts are brought up to date
-    private static final int HEAP_SHARE = 4; // one byte of so many may hold what clients and hosts sent
-    private static final double BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
+    private static final double RESPONSE_MARGIN_MS = 20; // the answer must reach the client within its time
+    private static final long SHUTDOWN_TIMEOUT_MS =
+            30_000; // after SIGTERM: long answers have had their time, if there is any
+    private static final long FINAL_TALLY_TIMEOUT_MS = 100; // for the last figures to be logged
+    private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain looks whether all is answered
+    private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the figures on hosts are brought up to date
+    private static final int BUFFER_HEAP_DIVISOR = 4; // one byte of so many may hold what clients and hosts sent
+    private static final double MIN_BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
     private static final double MICROS_PER_MS = 1000;
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** Something that the module is to be told. */
     private interface Event {
-        void tell(double now, Events module);
+        void deliver(double now, Events module);
     }
 
     final NodeConfig config;
     final Clock clock;
-    final EventLoopLag loopDelay = new EventLoopLag();
+    final EventLoopLag eventLoopLag = new EventLoopLag();
     final NioEventLoopGroup group =
-            new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> loopDelay);
+            new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), () -> eventLoopLag);
     final EventLoop loop = group.next();
     final Tally tally = new Tally();
-    final MemoryBudget room = new MemoryBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
-    final Metrics figures;
+    final MemoryBudget memoryBudget = new MemoryBudget(Runtime.getRuntime().maxMemory() / BUFFER_HEAP_DIVISOR);
+    final Metrics metrics;
     private final Events module;
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ClientServer clients;
-    private final HostClient hosts;
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+    private final ClientServer clientServer;
+    private final HostClient hostClient;
     private final Discovery discovery;
-    private final PeerLink peers;
-    private final CounterClient counter;
+    private final PeerLink peerLink;
+    private final CounterClient counterClient;
     private final Drain drain;
     private final CountDownLatch drained = new CountDownLatch(1);
-    private boolean telling;
+    private boolean delivering;
     private volatile boolean serving;
-    private boolean rehearsing;
+    private boolean warmingUp;
     private ConfigReloader reloader; // null where the configuration came from elsewhere
-    private SiblingWatch siblings; // set before the start, where another process may serve as this gateway
-    private List<CustomerSnapshot> recalled = List.of();
-    private int processes = 1;
-    private SiblingWatch.Siblings others = SiblingWatch.Siblings.NONE;
-    private SiblingWatch.Siblings told = SiblingWatch.Siblings.NONE; // what others have last heard of this process
-    private volatile boolean ending; // by SIGTERM: no operator takes that back
-    private boolean over; // the drain's time is up: nothing more is sent
-    private long repeats;
+    private SiblingWatch siblingWatch; // set before the start, where another process may serve as this gateway
+    private List<CustomerSnapshot> restoredCustomers = List.of();
+    private int servingProcesses = 1;
+    private SiblingWatch.SiblingCounts siblings = SiblingWatch.SiblingCounts.NONE;
+    private SiblingWatch.SiblingCounts lastPublished =
+            SiblingWatch.SiblingCounts.NONE; // what others have last heard of this process
+    private volatile boolean terminating; // by SIGTERM: no operator takes that back
+    private boolean drainExpired; // the drain's time is up: nothing more is sent
+    private long duplicateIds;
 
     Node(NodeConfig config) {
         this(config, DecisionModule::new);
     }
 
     /** With a module of the caller's making. */
-    Node(NodeConfig config, Function<Actions, Events> maker) {
-        this(config, maker, new Clock());
+    Node(NodeConfig config, Function<Actions, Events> moduleFactory) {
+        this(config, moduleFactory, new Clock());
     }
 
-    Node(NodeConfig config, Function<Actions, Events> maker, Clock clock) {
+    Node(NodeConfig config, Function<Actions, Events> moduleFactory, Clock clock) {
         this.config = config;
         this.clock = clock;
-        this.figures = new Metrics(config.settings().classes());
-        this.module = maker.apply(this);
-        this.clients = new ClientServer(this);
-        this.hosts = new HostClient(this);
+        this.metrics = new Metrics(config.settings().classes());
+        this.module = moduleFactory.apply(this);
+        this.clientServer = new ClientServer(this);
+        this.hostClient = new HostClient(this);
         this.discovery = new Discovery(this);
-        this.peers = new PeerLink(this);
-        this.counter = new CounterClient(this);
-        this.drain = new Drain(loop, clock, clients);
+        this.peerLink = new PeerLink(this);
+        this.counterClient = new CounterClient(this);
+        this.drain = new Drain(loop, clock, clientServer);
     }
 
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile) {
-        ReloadSignal reloadSignal = ReloadSignal.heard();
+        ReloadSignal reloadSignal = ReloadSignal.install();
         AtomicReference<Node> started = new AtomicReference<>();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> end(started.get())));
-        plainLogs();
-        StartTimes times = new StartTimes(new Clock());
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(started.get())));
+        configureLogging();
+        StartupTimes startupTimes = new StartupTimes(new Clock());
         try {
-            NodeConfig config = config(configFile);
-            times.ended("configuration");
+            NodeConfig config = readConfig(configFile);
+            startupTimes.phaseEnded("configuration");
             ServerSocketChannel inherited = InheritedListener.fromEnvironment();
-            Node node = StartStep.retried("no event loop", () -> new Node(config));
-            node.configuredBy(Path.of(configFile));
+            Node node = StartupRetry.withRetries("no event loop", () -> new Node(config));
+            node.setConfigFile(Path.of(configFile));
             if (config.operator() != null) { // it says no until clients are taken
-                StartStep.retried("no operator address", () -> operator(config, node));
+                StartupRetry.withRetries("no operator address", () -> startOperator(config, node));
             }
             if (inherited != null && System.getenv("TMPDIR") != null) {
                 node.watchSiblings(Path.of(System.getenv("TMPDIR")));
             }
-            times.ended("operator and siblings");
-            int rehearsed = Rehearsal.warm(config, inherited == null && config.wasInService());
-            times.ended("warm-up");
-            node.recall();
+            startupTimes.phaseEnded("operator and siblings");
+            int warmUpRequests = WarmUp.warmUp(config, inherited == null && config.wasInService());
+            startupTimes.phaseEnded("warm-up");
+            node.readSiblingCustomers();
             started.set(node);
-            node.start(inherited, times);
-            log("serving on " + config.listen() + " after " + rehearsed + " rehearsed requests");
-            log(times.line());
+            node.start(inherited, startupTimes);
+            log("serving on " + config.listen() + " after " + warmUpRequests + " rehearsed requests");
+            log(startupTimes.summary());
             node.serving = true;
-            reloadSignal.actsBy(node::reload);
-        } catch (NodeConfig.BadConfig | IOException | RuntimeException e) {
+            reloadSignal.setAction(node::reload);
+        } catch (NodeConfig.InvalidConfigException | IOException | RuntimeException e) {
             System.err.println("deckfall: " + e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
 
     /** What SIGTERM begins; a node that has not begun to serve owes nothing. */
-    private static void end(Node node) {
+    private static void shutDown(Node node) {
         if (node == null) {
             Runtime.getRuntime().halt(0);
         } else {
@@ -157,21 +159,21 @@
         }
     }
 
-    private static OperatorServer operator(NodeConfig config, Node node) throws IOException {
-        OperatorServer operator = new OperatorServer(config.operator(), node.operations());
+    private static OperatorServer startOperator(NodeConfig config, Node node) throws IOException {
+        OperatorServer operator = new OperatorServer(config.operator(), node.operatorCommands());
         operator.start();
         return operator;
     }
 
     /** The configuration, read again for a while where the file can't be read. */
-    private static NodeConfig config(String file) throws NodeConfig.BadConfig, IOException {
+    private static NodeConfig readConfig(String file) throws NodeConfig.InvalidConfigException, IOException {
         try {
             return NodeConfig.read(file);
-        } catch (NodeConfig.BadConfig e) {
-            if (!e.mayPass()) {
+        } catch (NodeConfig.InvalidConfigException e) {
+            if (!e.isTransient()) {
                 throw e;
             }
-            return StartStep.retried("no configuration", () -> NodeConfig.read(file));
+            return StartupRetry.withRetries("no configuration", () -> NodeConfig.read(file));
         }
     }
 
@@ -181,24 +183,24 @@
     }
 
     /** Takes from a replaced configuration what may change while a node serves: where others are. */
-    private void changed(NodeConfig to) {
-        log("configuration read again: discovery at " + to.discovery());
+    private void applyConfig(NodeConfig newConfig) {
+        log("configuration read again: discovery at " + newConfig.discovery());
         loop.execute(() -> {
-            discovery.move(to.discovery());
-            counter.move(to.counter());
+            discovery.moveTo(newConfig.discovery());
+            counterClient.moveTo(newConfig.counter());
         });
     }
 
     /** The file in which the platform tells of changes. */
-    void configuredBy(Path file) {
-        reloader = new ConfigReloader(file, this::changed);
+    void setConfigFile(Path file) {
+        reloader = new ConfigReloader(file, this::applyConfig);
     }
 
     /**
      * Where discovery can't be had it may have moved while nobody heard the signal, as in a start that had read the
      * file before it was replaced.
      */
-    void discoveryLost() {
+    void discoveryUnreachable() {
         if (reloader != null) {
             log("discovery can't be had");
             reload();
@@ -207,36 +209,40 @@
 
     /** Returns once clients are served at the configured address. */
     void start() throws IOException {
-        start(null, new StartTimes(clock));
+        start(null, new StartupTimes(clock));
         serving = true;
     }
 
     /** Returns once clients are let in, at the inherited listener if there is one. */
-    private void start(ServerSocketChannel inherited, StartTimes times) throws IOException {
+    private void start(ServerSocketChannel inherited, StartupTimes startupTimes) throws IOException {
         try {
             loop.submit(() -> {
-                        tell((now, m) -> m.start(now, config.settings()));
-                        tell((now, m) -> m.restoreCustomers(now, recalled));
-                        peers.start();
-                        if (config.known().hasNonNull(Discovery.LIST)) {
-                            hostsTold(HostListKind.CACHED, Discovery.entries(config.known()));
+                        deliver((now, m) -> m.start(now, config.settings()));
+                        deliver((now, m) -> m.restoreCustomers(now, restoredCustomers));
+                        peerLink.start();
+                        if (config.knownList().hasNonNull(Discovery.SERVERS_FIELD)) {
+                            hostListReceived(HostListKind.CACHED, Discovery.parseEntries(config.knownList()));
                         }
                         discovery.start();
-                        counter.start();
+                        counterClient.start();
                         loop.scheduleAtFixedRate(
                                 this::logTally, Tally.PERIOD_MS, Tally.PERIOD_MS, TimeUnit.MILLISECONDS);
-                        loop.scheduleAtFixedRate(this::countHosts, SURVEY_MS, SURVEY_MS, TimeUnit.MILLISECONDS);
+                        loop.scheduleAtFixedRate(
+                                this::updateHostMetrics,
+                                HOST_METRICS_INTERVAL_MS,
+                                HOST_METRICS_INTERVAL_MS,
+                                TimeUnit.MILLISECONDS);
                     })
                     .sync();
-            times.ended("module and known list"); // the counter is called, and not waited for
-            if (!rehearsing) { // a rehearsal's discovery is the node itself
-                discovery.awaitList();
+            startupTimes.phaseEnded("module and known list"); // the counter is called, and not waited for
+            if (!warmingUp) { // a rehearsal's discovery is the node itself
+                discovery.awaitFirstList();
             }
-            times.ended("discovery");
-            StartStep.retried(
+            startupTimes.phaseEnded("discovery");
+            StartupRetry.withRetries(
                     "no listener",
                     () -> loop.submit(() -> listen(inherited)).sync().getNow().sync());
-            times.ended("listener");
+            startupTimes.phaseEnded("listener");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -246,14 +252,14 @@
     }
 
     private Future<?> listen(ServerSocketChannel inherited) {
-        return ending ? loop.newSucceededFuture(null) : clients.start(inherited);
+        return terminating ? loop.newSucceededFuture(null) : clientServer.start(inherited);
     }
 
     /**
      * One plain line for each thing that netty warns of. The system's own handler reads the time zones' file for
      * its first line, and where that line says that no descriptor is left, this would end the event loop.
      */
-    static void plainLogs() {
+    static void configureLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Logger root = Logger.getLogger("");
         for (Handler h : root.getHandlers()) {
@@ -261,8 +267,9 @@
         }
         root.addHandler(new Handler() {
             @Override
-            public void publish(LogRecord r) {
-                log(r.getLevel() + " " + r.getMessage() + (r.getThrown() == null ? "" : " " + r.getThrown()));
+            public void publish(LogRecord record) {
+                log(record.getLevel() + " " + record.getMessage()
+                        + (record.getThrown() == null ? "" : " " + record.getThrown()));
             }
 
             @Override
@@ -274,7 +281,7 @@
     }
 
     /** Netty tells elsewhere of a connect for which no descriptor was left; nothing here may run there. */
-    void onLoop(Runnable action) {
+    void runOnLoop(Runnable action) {
         if (loop.inEventLoop()) {
             action.run();
         } else {
@@ -288,7 +295,7 @@
 
     private void logTally() {
         String line = tally.takeLine();
-        if (line != null && !rehearsing) {
+        if (line != null && !warmingUp) {
             log(line);
         }
     }
@@ -299,114 +306,115 @@
      * Tells the module in order, and never from inside itself: what its own actions bring about at once waits
      * until it has returned.
      */
-    private void tell(Event event) {
+    private void deliver(Event event) {
         assert loop.inEventLoop() : "told beside the loop";
-        events.add(event);
-        if (telling) {
+        pendingEvents.add(event);
+        if (delivering) {
             return;
         }
-        telling = true;
-        loopDelay.observeDelayMs(); // a timer's turn has no I/O
+        delivering = true;
+        eventLoopLag.observeDelayMs(); // a timer's turn has no I/O
         try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
+            for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
-                    next.tell(clock.now(), module);
+                    next.deliver(clock.now(), module);
                 } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
                     log("defect: the module threw " + e);
                     e.printStackTrace();
                 }
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
     /** Other processes that serve as this gateway are told of this one from here on, by files in a folder. */
     SiblingWatch watchSiblings(Path folder) {
         SiblingFiles files = new SiblingFiles(folder, ProcessHandle.current().pid());
-        siblings = new SiblingWatch(files, clock, new SiblingWatch.Gateway() {
+        siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.LocalProcess() {
             @Override
-            public boolean takesClients() {
-                return serving && !ending;
+            public boolean acceptsClients() {
+                return serving && !terminating;
             }
 
             @Override
             public int clientConnections() {
-                return clients.connectionCount();
+                return clientServer.connectionCount();
             }
 
             @Override
             public int hostConnections() {
-                return hosts.connections();
+                return hostClient.connections();
             }
 
             @Override
-            public List<CustomerSnapshot> memory() throws InterruptedException, ExecutionException, TimeoutException {
+            public List<CustomerSnapshot> snapshotCustomers()
+                    throws InterruptedException, ExecutionException, TimeoutException {
                 return loop.submit(() -> module.snapshotCustomers(clock.now()))
-                        .get(SiblingWatch.MEMORY_MS, TimeUnit.MILLISECONDS);
+                        .get(SiblingWatch.SNAPSHOT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
 
             @Override
-            public void siblings(SiblingWatch.Siblings seen) {
-                loop.execute(() -> heard(seen));
+            public void onSiblings(SiblingWatch.SiblingCounts seen) {
+                loop.execute(() -> siblingsChanged(seen));
             }
 
             @Override
-            public void told(SiblingWatch.Siblings own) {
-                loop.execute(() -> told = own);
+            public void onPublished(SiblingWatch.SiblingCounts own) {
+                loop.execute(() -> lastPublished = own);
             }
         });
-        siblings.start();
-        return siblings;
+        siblingWatch.start();
+        return siblingWatch;
     }
 
-    private void heard(SiblingWatch.Siblings seen) {
-        others = seen;
-        share(1 + seen.serving());
+    private void siblingsChanged(SiblingWatch.SiblingCounts seen) {
+        siblings = seen;
+        updateProcessCount(1 + seen.serving());
     }
 
-    private void share(int count) {
-        if (count != processes && serving) {
+    private void updateProcessCount(int count) {
+        if (count != servingProcesses && serving) {
             log("processes serving as this gateway: " + count);
-            processes = count;
-            tell((now, m) -> m.processCountChanged(now, count));
+            servingProcesses = count;
+            deliver((now, m) -> m.processCountChanged(now, count));
         }
     }
 
     /** What other processes of this gateway were last heard to hold. */
-    SiblingWatch.Siblings others() {
-        return others;
+    SiblingWatch.SiblingCounts siblings() {
+        return siblings;
     }
 
     /** Connections from clients that all processes of this gateway hold. */
-    int clientsHeld() {
-        return clients.descriptorsHeld();
+    int totalClientConnections() {
+        return clientServer.descriptorsHeld();
     }
 
     /** The same of connections to hosts. */
-    int hostsHeld() {
-        return hosts.held();
+    int totalHostConnections() {
+        return hostClient.totalConnections();
     }
 
     /**
      * What this process and the others hold of something, at most: since this process last told of itself each of the
      * others may have taken as much more as it has itself.
      */
-    int heldByAll(int own, ToIntFunction<SiblingWatch.Siblings> held) {
-        int grown = Math.max(0, own - held.applyAsInt(told));
-        return own + held.applyAsInt(others) + grown * others.count();
+    int totalAcrossProcesses(int own, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
+        int grown = Math.max(0, own - connections.applyAsInt(lastPublished));
+        return own + connections.applyAsInt(siblings) + grown * siblings.processes();
     }
 
     /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
-    private void recall() {
-        if (siblings != null) {
-            recalled = siblings.memoryOfOther();
-            log("recalled " + recalled.size() + " customers of another process");
+    private void readSiblingCustomers() {
+        if (siblingWatch != null) {
+            restoredCustomers = siblingWatch.customersOfServingSibling();
+            log("recalled " + restoredCustomers.size() + " customers of another process");
         }
     }
 
-    private void countHosts() {
-        figures.targets(hosts.listed(), module.avoidedHostCount(clock.now()));
+    private void updateHostMetrics() {
+        metrics.targets(hostClient.hostCount(), module.avoidedHostCount(clock.now()));
     }
 
     boolean draining() {
@@ -414,7 +422,7 @@
     }
 
     /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
-    void connectionEnded(CloseReason why, int unanswered) {
+    void connectionClosed(CloseReason why, int unanswered) {
         tally.addClose(why);
         if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
             tally.add(Tally.Count.CLOSED_UNANSWERED);
@@ -423,7 +431,7 @@
     }
 
     /** What an operator may ask of this node. */
-    OperatorServer.Commands operations() {
+    OperatorServer.Commands operatorCommands() {
         return new OperatorServer.Commands() {
             @Override
             public String notReadyReason() {
@@ -432,7 +440,7 @@
 
             @Override
             public String metrics() {
-                return figures.text();
+                return metrics.text();
             }
 
             @Override
@@ -444,7 +452,7 @@
             @Override
             public void resume() {
                 log("operator: resume");
-                if (!ending) {
+                if (!terminating) {
                     drain.resume();
                 }
             }
@@ -452,319 +460,341 @@
     }
 
     /** From here on this node is no gateway to clients. */
-    void rehearse() {
-        rehearsing = true;
+    void markAsWarmUp() {
+        warmingUp = true;
     }
 
-    boolean rehearsing() {
-        return rehearsing;
+    boolean warmingUp() {
+        return warmingUp;
     }
 
     /** Whether clients may be let in. */
     boolean ready() {
-        return serving && !drain.active() && !rehearsing;
+        return serving && !drain.active() && !warmingUp;
     }
 
     /**
      * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
      * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
      */
-    void taken(Request read, IncomingRequest message, ClientConnection client) {
-        Request r = message.complete() ? read : due(read, read.id(), message.remainingBytes() / BODY_BYTES_PER_MS);
-        String id = r.id();
-        while (open.containsKey(id)) { // the module knows requests by id, and a client may repeat one
-            id = r.id() + '#' + ++repeats;
-        }
-        Request told = id.equals(r.id()) ? r : due(r, id, 0);
-        OpenRequest entry = new OpenRequest(told, message, r.id(), client);
-        open.put(id, entry);
-        figures.requestOpened();
+    void requestReceived(Request parsed, IncomingRequest message, ClientConnection client) {
+        Request request = message.complete()
+                ? parsed
+                : withDeadline(parsed, parsed.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
+        String id = request.id();
+        while (openRequests.containsKey(id)) { // the module knows requests by id, and a client may repeat one
+            id = request.id() + '#' + ++duplicateIds;
+        }
+        Request delivered = id.equals(request.id()) ? request : withDeadline(request, id, 0);
+        OpenRequest entry = new OpenRequest(delivered, message, request.id(), client);
+        openRequests.put(id, entry);
+        metrics.requestOpened();
         tally.add(Tally.Count.TAKEN);
         client.setOpenRequest(entry);
-        guard(entry);
-        tell((now, m) -> m.requestReceived(now, told));
+        scheduleDeadline(entry);
+        deliver((now, m) -> m.requestReceived(now, delivered));
     }
 
-    private static Request due(Request r, String id, double laterMs) {
+    private static Request withDeadline(Request request, String id, double laterMs) {
         return new Request(
                 id,
-                r.deadlineMs() + laterMs,
-                r.retry(),
-                r.requestClass(),
-                r.customer(),
-                r.plan(),
-                r.units(),
-                r.first(),
-                r.spread());
+                request.deadlineMs() + laterMs,
+                request.retry(),
+                request.requestClass(),
+                request.customer(),
+                request.plan(),
+                request.units(),
+                request.first(),
+                request.spread());
     }
 
-    private void guard(OpenRequest r) {
-        r.deadlineTimer = loop.schedule(() -> deadline(r), micros(r.deadlineMs - clock.now()), TimeUnit.MICROSECONDS);
+    private void scheduleDeadline(OpenRequest openRequest) {
+        openRequest.deadlineTimer = loop.schedule(
+                () -> deadlineReached(openRequest),
+                toMicros(openRequest.deadlineMs - clock.now()),
+                TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come that was taken before. */
-    void bodyCame(OpenRequest r, double deadlineMs) {
-        r.deadlineMs = deadlineMs;
-        if (!r.closed()) {
-            r.deadlineTimer.cancel(false);
-            guard(r);
+    void bodyReceived(OpenRequest openRequest, double deadlineMs) {
+        openRequest.deadlineMs = deadlineMs;
+        if (!openRequest.closed()) {
+            openRequest.deadlineTimer.cancel(false);
+            scheduleDeadline(openRequest);
         }
     }
 
     /** When the answer must have left for a client that waits this long from its sending. */
     static double deadline(double now, double expiresInMs) {
-        return now + Math.max(1, expiresInMs - MARGIN_MS);
+        return now + Math.max(1, expiresInMs - RESPONSE_MARGIN_MS);
     }
 
-    private static long micros(double ms) {
+    private static long toMicros(double ms) {
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
-    boolean full() {
-        return open.size() >= config.maxOpen();
+    boolean openLimitReached() {
+        return openRequests.size() >= config.maxOpenRequests();
     }
 
     /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
-    private void deadline(OpenRequest r) {
-        endAttempts(r);
-        if (!r.closed()) {
+    private void deadlineReached(OpenRequest openRequest) {
+        timeOutAttempts(openRequest);
+        if (!openRequest.closed()) {
             log("defect: no answer from the module in time, request failed");
-            answer(r, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
+            respond(openRequest, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
 
-    private void endAttempts(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            giveUp(a, Outcome.TIMEOUT);
+    private void timeOutAttempts(OpenRequest openRequest) {
+        for (Attempt attempt : List.copyOf(openRequest.attempts)) {
+            abandonAttempt(attempt, Outcome.TIMEOUT);
         }
     }
 
     /** What still waited for a connection has never run, whatever else it would count as. */
-    private void giveUp(Attempt a, Outcome begun) {
-        if (!a.ended) {
-            a.abandon();
-            attemptEnded(a, a.begun() ? begun : Outcome.CONNECT_FAILED, null);
+    private void abandonAttempt(Attempt attempt, Outcome outcomeIfStarted) {
+        if (!attempt.ended) {
+            attempt.abandon();
+            attemptEnded(attempt, attempt.started() ? outcomeIfStarted : Outcome.CONNECT_FAILED, null);
         }
     }
 
     /** Nobody waits for it any more: it must not leave when its connection comes up, may it be cancelled or not. */
-    private void withdrawUnsent(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            if (!a.ended && !a.begun()) {
-                a.abandon();
-                attemptEnded(a, Outcome.MOOT, null);
+    private void cancelUnsentAttempts(OpenRequest openRequest) {
+        for (Attempt attempt : List.copyOf(openRequest.attempts)) {
+            if (!attempt.ended && !attempt.started()) {
+                attempt.abandon();
+                attemptEnded(attempt, Outcome.MOOT, null);
             }
         }
     }
 
-    void clientLeft(OpenRequest r) {
-        if (r.closed()) {
+    void clientDisconnected(OpenRequest openRequest) {
+        if (openRequest.closed()) {
             return;
         }
-        close(r);
+        closeRequest(openRequest);
         tally.add(Tally.Count.CLIENT_LEFT);
-        withdrawUnsent(r);
-        tell((now, m) -> m.clientDisconnected(now, r.request.id()));
-        forgetIfOver(r);
+        cancelUnsentAttempts(openRequest);
+        deliver((now, m) -> m.clientDisconnected(now, openRequest.request.id()));
+        removeIfDone(openRequest);
     }
 
     /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
-    void attemptEnded(Attempt a, Outcome outcome, FullHttpResponse response) {
-        if (a.ended) {
+    void attemptEnded(Attempt attempt, Outcome outcome, FullHttpResponse response) {
+        if (attempt.ended) {
             return;
         }
-        a.ended = true;
-        OpenRequest r = a.owner;
+        attempt.ended = true;
+        OpenRequest openRequest = attempt.owner;
         if (outcome == Outcome.OK) {
-            ClientConnection client = close(r);
+            ClientConnection client = closeRequest(openRequest);
             if (client != null) {
                 tally.add(Tally.Count.SERVED);
-                figures.recordResult(r.request.requestClass(), Metrics.Result.SUCCESS);
+                metrics.recordResult(openRequest.request.requestClass(), Metrics.Result.SUCCESS);
                 client.sendResponse(response);
             }
         }
-        finished(a, outcome, response);
+        reportAttempt(attempt, outcome, response);
     }
 
     /** What the module learns of an attempt; the head of the answer, where there is one, may tell more. */
-    private void finished(Attempt a, Outcome outcome, HttpResponse response) {
+    private void reportAttempt(Attempt attempt, Outcome outcome, HttpResponse response) {
         tally.addAttempt(outcome);
-        OpenRequest r = a.owner;
-        r.attemptsInFlight--;
-        boolean closed = r.closed();
-        double took = clock.now() - a.sentAt;
-        double[] report = response == null ? NO_REPORT : hosts.report(response);
-        int usedPct = response == null ? 0 : hosts.usedPct(response);
-        tell((now, m) -> m.attemptEnded(
-                now, new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, usedPct, 0, report)));
-        forgetIfOver(r);
+        OpenRequest openRequest = attempt.owner;
+        openRequest.attemptsInFlight--;
+        boolean closed = openRequest.closed();
+        double latencyMs = clock.now() - attempt.sentAt;
+        double[] loadMetrics = response == null ? NO_LOAD_METRICS : hostClient.loadMetrics(response);
+        int usedPct = response == null ? 0 : hostClient.usedPct(response);
+        deliver((now, m) -> m.attemptEnded(
+                now,
+                new AttemptResult(
+                        openRequest.request.id(),
+                        attempt.number,
+                        attempt.host,
+                        outcome,
+                        latencyMs,
+                        closed,
+                        usedPct,
+                        0,
+                        loadMetrics)));
+        removeIfDone(openRequest);
     }
 
     /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
-    private ClientConnection close(OpenRequest r) {
-        if (!r.closed()) {
-            figures.requestClosed();
+    private ClientConnection closeRequest(OpenRequest openRequest) {
+        if (!openRequest.closed()) {
+            metrics.requestClosed();
         }
-        return r.close();
+        return openRequest.close();
     }
 
     /**
      * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
      * where no client waits for it. The request counts as open until the transfer ends.
      */
-    ResponseTransfer answerBegun(Attempt a, HttpResponse head, ResponseTransfer.Source source) {
-        if (a.ended) {
+    ResponseTransfer responseStarted(Attempt attempt, HttpResponse head, ResponseTransfer.Source source) {
+        if (attempt.ended) {
             return null;
         }
-        a.ended = true;
-        OpenRequest r = a.owner;
-        ClientConnection client = r.close();
+        attempt.ended = true;
+        OpenRequest openRequest = attempt.owner;
+        ClientConnection client = openRequest.close();
         ResponseTransfer transfer =
-                client == null ? null : new ResponseTransfer(this, r.request.requestClass(), client, source);
+                client == null ? null : new ResponseTransfer(this, openRequest.request.requestClass(), client, source);
         if (transfer != null) {
             client.beginResponse(head, transfer);
         }
-        finished(a, Outcome.OK, head);
+        reportAttempt(attempt, Outcome.OK, head);
         return transfer;
     }
 
     /** The end of an answer's transfer; {@code end} is null where its client had left. */
-    void transferred(String requestClass, Metrics.Result end) {
-        figures.requestClosed();
+    void transferEnded(String requestClass, Metrics.Result end) {
+        metrics.requestClosed();
         if (end != null) {
-            figures.recordResult(requestClass, end);
+            metrics.recordResult(requestClass, end);
             tally.add(end == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
         }
     }
 
-    private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.attemptsInFlight == 0 && open.remove(r.request.id(), r)) {
-            r.deadlineTimer.cancel(false);
-            r.message.release();
+    private void removeIfDone(OpenRequest openRequest) {
+        if (openRequest.closed()
+                && openRequest.attemptsInFlight == 0
+                && openRequests.remove(openRequest.request.id(), openRequest)) {
+            openRequest.deadlineTimer.cancel(false);
+            openRequest.message.release();
         }
     }
 
-    void hostsTold(HostListKind kind, List<Discovery.Entry> entries) {
-        Runnable turnBack = hosts.listed(kind, entries);
+    void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
+        Runnable rejectWaiting = hostClient.updateHosts(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
         entries.forEach(e -> list.add(e.host()));
-        tell((now, m) -> m.hostsUpdated(now, kind, list));
-        turnBack.run();
+        deliver((now, m) -> m.hostsUpdated(now, kind, list));
+        rejectWaiting.run();
     }
 
-    void probed(String host, Outcome outcome, double took, double[] report) {
-        tell((now, m) -> m.probeEnded(now, host, outcome, took, report));
+    void probeEnded(String host, Outcome outcome, double latencyMs, double[] loadMetrics) {
+        deliver((now, m) -> m.probeEnded(now, host, outcome, latencyMs, loadMetrics));
     }
 
-    void counted(String name, Outcome outcome, double total) {
+    void counterCallEnded(String name, Outcome outcome, double total) {
         tally.addCounterCall(outcome);
-        tell((now, m) -> m.counterCallEnded(now, name, outcome, total));
+        deliver((now, m) -> m.counterCallEnded(now, name, outcome, total));
     }
 
-    void peerSaid(int peer, byte[] data) {
-        tell((now, m) -> m.peerMessageReceived(now, peer, data));
+    void peerMessageReceived(int peer, byte[] data) {
+        deliver((now, m) -> m.peerMessageReceived(now, peer, data));
     }
 
     // ---- what the module does
 
     @Override
     public void send(String id, String host, double timeoutMs) {
-        OpenRequest r = open.get(id);
-        if (r == null) {
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest == null) {
             return;
         }
         double now = clock.now();
-        Attempt a = new Attempt(this, r, host, now);
-        r.attempts.add(a);
-        r.attemptsInFlight++;
-        if (!maySend(a)) {
+        Attempt attempt = new Attempt(this, openRequest, host, now);
+        openRequest.attempts.add(attempt);
+        openRequest.attemptsInFlight++;
+        if (!maySend(attempt)) {
             return;
         }
         if (timeoutMs > 0) {
-            loop.schedule(() -> giveUp(a, Outcome.TIMEOUT), micros(timeoutMs), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> abandonAttempt(attempt, Outcome.TIMEOUT), toMicros(timeoutMs), TimeUnit.MICROSECONDS);
         }
-        hosts.send(a);
+        hostClient.send(attempt);
     }
 
     /** Whether an attempt may go out now; one that may not has ended without having run. */
-    boolean maySend(Attempt a) {
-        DispatchRule.Verdict verdict = DispatchRule.judge(
-                a.owner, a.number, clock.now(), config.settings().limits().maxAttempts(), over);
+    boolean maySend(Attempt attempt) {
+        DispatchRule.Verdict verdict = DispatchRule.check(
+                attempt.owner,
+                attempt.number,
+                clock.now(),
+                config.settings().limits().maxAttempts(),
+                drainExpired);
         if (verdict == DispatchRule.Verdict.ALLOWED) {
             return true;
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientLeft(a.owner); // ends all attempts that have not begun
+            clientDisconnected(attempt.owner); // ends all attempts that have not begun
         }
-        if (!a.ended) {
-            a.abandon();
-            attemptEnded(a, Outcome.MOOT, null);
+        if (!attempt.ended) {
+            attempt.abandon();
+            attemptEnded(attempt, Outcome.MOOT, null);
         }
         return false;
     }
 
     /** Checks at run time what {@link #maySend} has decided: no byte leaves for a request that has ended. */
-    void leaves(Attempt a) {
-        if (a.ended || a.owner.closed() || over) {
+    void checkBeforeWrite(Attempt attempt) {
+        if (attempt.ended || attempt.owner.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
-            log("defect: request " + a.owner.traceId + " sent to " + a.host + " after its end");
+            log("defect: request " + attempt.owner.traceId + " sent to " + attempt.host + " after its end");
         }
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        OpenRequest r = open.get(id);
-        if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
-            giveUp(r.attempts.get(attempt), Outcome.CANCELLED);
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null && attempt >= 0 && attempt < openRequest.attempts.size()) {
+            abandonAttempt(openRequest.attempts.get(attempt), Outcome.CANCELLED);
         }
     }
 
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
-        if (open.containsKey(id)) {
+        if (openRequests.containsKey(id)) {
             tally.addRefusal(why);
         }
-        answer(open.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
+        respond(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
-        answer(open.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
+        respond(openRequests.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
-    private void answer(OpenRequest r, HttpResponseStatus status, double retryAfterMs) {
-        ClientConnection client = r == null ? null : close(r);
+    private void respond(OpenRequest openRequest, HttpResponseStatus status, double retryAfterMs) {
+        ClientConnection client = openRequest == null ? null : closeRequest(openRequest);
         if (client != null) {
             boolean refused = status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                     || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
             tally.add(refused ? Tally.Count.REFUSED : Tally.Count.FAILED);
-            figures.recordResult(r.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
+            metrics.recordResult(
+                    openRequest.request.requestClass(), refused ? Metrics.Result.OVERLOAD : Metrics.Result.ERROR);
             client.respond(status, retryAfterMs);
         }
-        if (r != null) {
-            forgetIfOver(r);
+        if (openRequest != null) {
+            removeIfDone(openRequest);
         }
     }
 
     @Override
     public void startTimer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timerFired(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, m) -> m.timerFired(now, token)), toMicros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probeHost(String host) {
-        hosts.probe(host);
+        hostClient.probe(host);
     }
 
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
-        peers.send(peer, data);
+        peerLink.send(peer, data);
     }
 
     @Override
     public void addToCounter(String name, double amount, double lifetimeMs) {
-        counter.add(name, amount, lifetimeMs);
+        counterClient.add(name, amount, lifetimeMs);
     }
 
     /** Discovery is always watched. */
@@ -774,25 +804,25 @@
     // ---- the end
 
     private void drainAndHalt() {
-        log("ending: no new clients, " + figures.openRequests() + " requests open");
+        log("ending: no new clients, " + metrics.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
-            boolean all = awaitDrained(EXIT_MS);
-            loop.submit(this::logTally).await(LAST_WORD_MS);
-            log("ended, " + (all ? "all answered" : figures.openRequests() + " requests still open"));
+            boolean all = awaitDrained(SHUTDOWN_TIMEOUT_MS);
+            loop.submit(this::logTally).await(FINAL_TALLY_TIMEOUT_MS);
+            log("ended, " + (all ? "all answered" : metrics.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (siblings != null) {
-            siblings.stop();
+        if (siblingWatch != null) {
+            siblingWatch.stop();
         }
         Runtime.getRuntime().halt(0);
     }
 
     /** Accepts on for a while, since clients still come; answers all; then lets the process end. */
     void drain() {
-        ending = true;
-        if (clients.listener() == null) {
+        terminating = true;
+        if (clientServer.listener() == null) {
             drained.countDown(); // nobody was let in
             return;
         }
@@ -800,30 +830,32 @@
         double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
                 () -> stopAccepting(latest),
-                Drain.MIN_ACCEPT_MS + POLL_MS,
+                Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
-        loop.schedule(this::answerAll, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
+        loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
 
     /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
-    void answerAll() {
-        over = true;
-        for (OpenRequest r : List.copyOf(open.values())) {
-            endAttempts(r); // the module refuses or fails it, as its further attempts are void now
-        }
-        for (OpenRequest r : List.copyOf(open.values())) {
-            if (!r.closed()) { // still held: what was never sent is refused, as coming again does no harm
-                answer(
-                        r,
-                        r.attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
+    void endOpenRequests() {
+        drainExpired = true;
+        for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
+            timeOutAttempts(openRequest); // the module refuses or fails it, as its further attempts are void now
+        }
+        for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
+            if (!openRequest.closed()) { // still held: what was never sent is refused, as coming again does no harm
+                respond(
+                        openRequest,
+                        openRequest.attempts.isEmpty()
+                                ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                                : HttpResponseStatus.BAD_GATEWAY,
                         0);
             }
         }
-        clients.closeAll();
+        clientServer.closeAll();
     }
 
-    boolean over() {
-        return over;
+    boolean drainExpired() {
+        return drainExpired;
     }
 
     /**
@@ -832,22 +864,22 @@
      * left to it.
      */
     private void stopAccepting(double latest) {
-        boolean leftToOther = clients.sharesListener() && processes > 1;
-        boolean allAccepted = leftToOther || clients.acceptQueued();
-        boolean stirs = !leftToOther && clock.now() - clients.lastActivityMs() < Drain.RECONNECT_MS;
-        if ((stirs || !allAccepted) && clock.now() < latest) {
-            loop.schedule(() -> stopAccepting(latest), POLL_MS, TimeUnit.MILLISECONDS);
+        boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
+        boolean allAccepted = servedBySibling || clientServer.acceptQueued();
+        boolean recentlyActive = !servedBySibling && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
+        if ((recentlyActive || !allAccepted) && clock.now() < latest) {
+            loop.schedule(() -> stopAccepting(latest), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        clients.stopAccepting();
-        awaitEmpty();
+        clientServer.stopAccepting();
+        awaitAllAnswered();
     }
 
-    private void awaitEmpty() {
-        if (open.isEmpty() && clients.hasNoConnections()) {
+    private void awaitAllAnswered() {
+        if (openRequests.isEmpty() && clientServer.hasNoConnections()) {
             drained.countDown();
         } else {
-            loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::awaitAllAnswered, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -855,15 +887,15 @@
         return drained.await(ms, TimeUnit.MILLISECONDS);
     }
 
-    PeerLink peers() {
-        return peers;
+    PeerLink peerLink() {
+        return peerLink;
     }
 
     /** The port of the listener, where the configuration left it to the system; 0 before clients are let in. */
     int port() {
-        return clients.listener() == null
+        return clientServer.listener() == null
                 ? 0
-                : ((java.net.InetSocketAddress) clients.listener().localAddress()).getPort();
+                : ((java.net.InetSocketAddress) clientServer.listener().localAddress()).getPort();
     }
 
     /** Ends everything at once and answers nothing. */
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -88,7 +88,7 @@
         Client last = client(node); // what came before is known to have been read once this one is answered
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(502, out.receive().status());
         assertEquals(503, body.receive().status());
         for (Client c : new Client[] {half, fresh, last, out}) {
@@ -110,7 +110,7 @@
         int ms = TestEndpoints.TIMEOUT_MS;
         Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
         assertNotNull(host.nextRequest());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         go.countDown();
         assertEquals("one", c.receive().text());
         assertEquals("two", c.receive().text());
@@ -130,7 +130,7 @@
                     known.send(viewRequest(
                             "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                     return null;
                 })
                 .sync();
@@ -151,13 +151,13 @@
         for (int i = 0; i < count; i++) {
             assertNotNull(host.nextRequest());
         }
-        while (node.figures.openRequests() > 0) {
+        while (node.metrics.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
         }
         node.loop
                 .submit(() -> {
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                 })
                 .sync();
         for (int i = 0; i < count; i++) {
@@ -172,7 +172,7 @@
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(503, held.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
@@ -194,7 +194,7 @@
         node.start();
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
         clock.offsetMs = 10_000;
         assertNull(idle.receive()); // from here on there is a sweep every 50 ms
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import deckfall.Gateway.CustomerSnapshot;
-import deckfall.net.SiblingWatch.Siblings;
+import deckfall.net.SiblingWatch.SiblingCounts;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,14 +19,14 @@
     @TempDir
     private Path folder;
 
-    private final List<Siblings> seen = new ArrayList<>();
-    private boolean fails;
+    private final List<SiblingCounts> seen = new ArrayList<>();
+    private boolean failing;
 
     /** A process with a memory of one customer, of the times {@code atMs} on its own clock. */
-    private SiblingWatch.Gateway gateway(double atMs) {
-        return new SiblingWatch.Gateway() {
+    private SiblingWatch.LocalProcess localProcess(double atMs) {
+        return new SiblingWatch.LocalProcess() {
             @Override
-            public boolean takesClients() {
+            public boolean acceptsClients() {
                 return true;
             }
 
@@ -41,64 +41,64 @@
             }
 
             @Override
-            public List<CustomerSnapshot> memory() {
+            public List<CustomerSnapshot> snapshotCustomers() {
                 return List.of(new CustomerSnapshot(42, 1, 0, 3, 0.5, 2, 1.5, 3, 1, 4, 0.25, atMs, 17, atMs));
             }
 
             @Override
-            public void siblings(Siblings all) {
-                if (fails) {
+            public void onSiblings(SiblingCounts all) {
+                if (failing) {
                     throw new IllegalStateException("made up by the test");
                 }
                 seen.add(all);
             }
 
             @Override
-            public void told(Siblings own) {
-                assertEquals(new Siblings(1, 1, 3, 4), own);
+            public void onPublished(SiblingCounts own) {
+                assertEquals(new SiblingCounts(1, 1, 3, 4), own);
             }
         };
     }
 
-    private static SiblingFiles.Note note(boolean serving) {
-        return new SiblingFiles.Note(OTHER_PID, SiblingWatch.monotonicMs(), serving, 5, 6, List.of());
+    private static SiblingFiles.Status status(boolean serving) {
+        return new SiblingFiles.Status(OTHER_PID, SiblingWatch.monotonicMs(), serving, 5, 6, List.of());
     }
 
     /** The thread ended with the first unchecked exception, and no other process was told of this one again. */
     @Test
-    void aLookThatFailsIsFollowedByOthers() throws IOException {
-        SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), gateway(0));
-        fails = true;
-        watch.look();
-        fails = false;
-        new SiblingFiles(folder, OTHER_PID).write(note(true));
-        watch.look();
-        assertEquals(List.of(new Siblings(1, 1, 5, 6)), seen);
+    void pollingContinuesAfterAFailure() throws IOException {
+        SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0));
+        failing = true;
+        watch.poll();
+        failing = false;
+        new SiblingFiles(folder, OTHER_PID).write(status(true));
+        watch.poll();
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
     /** A folder in which nothing can be written still tells of the other process. */
     @Test
-    void theOtherProcessIsSeenWhereThisOneCanNotWrite() throws IOException {
-        new SiblingFiles(folder, OTHER_PID).write(note(true));
+    void siblingIsSeenWhenOwnFileCannotBeWritten() throws IOException {
+        new SiblingFiles(folder, OTHER_PID).write(status(true));
         Files.createDirectory(folder.resolve("gateway-2.part"));
-        new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), gateway(0)).look();
-        assertEquals(List.of(new Siblings(1, 1, 5, 6)), seen);
+        new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0)).poll();
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
     /** After a step of the wall clock the times of the memory were off by as much, and the process was not seen. */
     @Test
-    void aStepOfTheWallClockBetweenTwoStartsMovesNoTimeOfTheMemory() throws IOException {
+    void wallClockStepBetweenStartsDoesNotShiftStateTimes() throws IOException {
         ManualClock before = new ManualClock();
         ManualClock after = new ManualClock();
         before.frozen = true;
         after.frozen = true;
         after.offsetMs = 3_600_000;
-        new SiblingFiles(folder, OTHER_PID).write(note(false)); // one that starts
-        new SiblingWatch(new SiblingFiles(folder, 2), before, gateway(before.now() - 100)).look();
-        CustomerSnapshot heard = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, gateway(0))
-                .memoryOfOther()
+        new SiblingFiles(folder, OTHER_PID).write(status(false)); // one that starts
+        new SiblingWatch(new SiblingFiles(folder, 2), before, localProcess(before.now() - 100)).poll();
+        CustomerSnapshot received = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, localProcess(0))
+                .customersOfServingSibling()
                 .get(0);
-        double agoMs = after.now() - heard.totalAt();
+        double agoMs = after.now() - received.totalAt();
         assertEquals(100, agoMs, 1000); // the clocks of the test stand while the machine's goes on
     }
 }
