--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -1,32 +1,33 @@
 package deckfall;
 
 /**
- * How many calls this gateway may make to a counter that all gateways share, and what a call has to save.
- * What it bears is told nowhere: the rate grows while answers come in time, and is cut by a factor as they
- * come late, are turned away or don't come: so all drift to their share. The price rises with each call and
- * falls with time, so that within the rate the calls are made that save most.
+ * Limits the calls of this gateway to a counter that all gateways share, and sets the price that a call has to save.
+ *
+ * <p>The capacity of the counter is not configured. The rate of calls grows while replies arrive in time and is cut
+ * by a factor when they are late, rejected or missing, so that all gateways converge to their shares. The price rises
+ * with each call and decays over time, so that the calls made within the rate are those that save most.
  */
 final class CallBudget {
-    private static final double FLEET_START_RATE = 400; // calls a second at first, by all gateways
-    private static final double MIN_RATE = 0.5; // a call now and then shows that it is back
-    private static final double SLOW_START_GROWTH = 0.7; // a second, until the first late answer
-    private static final double GROWTH_SHARE = 0.2; // of the rate, gained each second
-    private static final double GROWTH_STEP = 0.1; // and so many a second: small shares catch up
-    private static final double RECOVERY_FACTOR = 5; // times as fast, far below what the counter bore last
-    private static final double RECOVERY_THRESHOLD = 0.6;
-    private static final double MAX_CUT_SHARE = 0.15; // by an answer as late as its time-out, less in proportion
-    private static final double TIMELY_SHARE = 0.35; // of the time-out: later than that calls wait in line
-    private static final double CONGESTED_LATENESS = 0.5; // of the way from there to the time-out
-    private static final int MIN_TIMELY_ANSWERS = 3; // answers in time after which the counter bears the rate
-    private static final double PRICE_STEP = 0.5; // growth with a call
-    private static final double START_PRICE = 50; // calls' own prices
-    private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of nothing could never rise
-    private static final double MAX_SAVED_MS = 500; // time's worth of calls that may be made at once
-    private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one wish in the share that is granted
+    private static final double FLEET_START_RATE = 400; // calls per second of all gateways at first
+    private static final double MIN_RATE = 0.5; // calls per second: rare calls detect that the counter has recovered
+    private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first late reply
+    private static final double GROWTH_SHARE = 0.2; // of the rate, each second after slow start
+    private static final double GROWTH_STEP = 0.1; // calls per second added each second, so that small shares catch up
+    private static final double RECOVERY_FACTOR = 5; // faster growth while far below the sustained rate
+    private static final double RECOVERY_THRESHOLD = 0.6; // of the sustained rate
+    private static final double MAX_CUT_SHARE = 0.15; // for a reply as late as the timeout; in proportion if earlier
+    private static final double TIMELY_SHARE = 0.35; // of the timeout: slower calls are queueing at the counter
+    private static final double CONGESTED_LATENESS = 0.5; // of the way from the timely share to the timeout
+    private static final int MIN_TIMELY_ANSWERS = 3; // timely replies after which the counter sustains the rate
+    private static final double PRICE_STEP = 0.5; // of the price, added by each call
+    private static final double START_PRICE = 50; // multiple of the minimum price
+    private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
+    private static final double MAX_SAVED_MS = 500; // of the rate: calls that may be made in one burst
+    private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one requested call in the allowed share
 
     private final double timeoutMs;
-    private double rate;
-    private double sustainedRate; // the rate at which answers last came in time
+    private double rate; // calls per second
+    private double sustainedRate; // calls per second at which replies last arrived in time
     private double savedCalls;
     private double allowedShare = 1;
     private double price;
@@ -44,18 +45,19 @@
         this.savedCallsAt = this.pricedAt = this.answeredAt = now;
     }
 
-    /** No call may save less than what the deployment charges for one, or else a trifle. */
+    /** Sets the minimum price: what the deployment charges for a call, or else a small share of the mean worth. */
     void updateMinPrice(double callPrice, double meanWorth) {
         double newMinPrice = Math.max(callPrice, MIN_PRICE_SHARE) * meanWorth;
         if (minPrice == 0) price = START_PRICE * newMinPrice;
         minPrice = newMinPrice;
     }
 
+    /** The worth that a call has to save at this time. */
     double price(double now) {
         return Math.max(minPrice, price * Math.exp(-Math.log1p(PRICE_STEP) * rate * (now - pricedAt) / 1000));
     }
 
-    /** Whether a call may be made now; one that may not raises the price as well. */
+    /** Whether a call may be made now; a call that may not be made raises the price as well. */
     boolean allowsCall(double now) {
         boolean allowed = hasSavedCall(now);
         allowedShare += ALLOWED_SHARE_GAIN * ((allowed ? 1 : 0) - allowedShare);
@@ -63,17 +65,19 @@
         return allowed;
     }
 
-    /** The share of wished calls that have been granted of late. */
+    /** The share of the recently requested calls that were allowed. */
     double allowedShare() {
         return Math.max(ALLOWED_SHARE_GAIN, allowedShare);
     }
 
+    /** Whether the saved calls, refilled up to now, include a whole one. */
     boolean hasSavedCall(double now) {
         savedCalls = Math.min(maxSavedCalls(), savedCalls + rate * (now - savedCallsAt) / 1000);
         savedCallsAt = now;
         return savedCalls >= 1;
     }
 
+    /** Takes one call from the saved calls and raises the price. */
     void recordCall(double now) {
         hasSavedCall(now);
         savedCalls--;
@@ -89,6 +93,7 @@
         pricedAt = now;
     }
 
+    /** Adapts the rate to the end of a call; {@code succeeded} is false if it was rejected or got no reply. */
     void recordAnswer(double now, double latencyMs, boolean succeeded) {
         double lateness = succeeded ? Math.min(1, (latencyMs / timeoutMs - TIMELY_SHARE) / (1 - TIMELY_SHARE)) : 1;
         double seconds = Math.min(1, (now - answeredAt) / 1000);
@@ -97,7 +102,8 @@
             timelyAnswers++;
             double recovery = rate < RECOVERY_THRESHOLD * sustainedRate ? RECOVERY_FACTOR : 1;
             double growth = inSlowStart ? SLOW_START_GROWTH * rate : GROWTH_STEP + GROWTH_SHARE * rate * recovery;
-            if (price(now) > minPrice) rate += seconds * growth; // an answer to few calls says nothing of more
+            if (price(now) > minPrice)
+                rate += seconds * growth; // a reply to few calls is no evidence for a higher rate
             return;
         }
         if (timelyAnswers >= MIN_TIMELY_ANSWERS) sustainedRate = rate;
--- a/src/main/java/deckfall/ExcessEstimate.java
+++ b/src/main/java/deckfall/ExcessEstimate.java
@@ -1,16 +1,16 @@
 package deckfall;
 
 /**
- * What the requests let in of late are expected to cost beyond their quotas, against what they are expected to earn
- * inside them: sums that fade with each request. It decides nothing.
+ * Compares what the recently admitted requests are expected to cost beyond their quotas with what they are expected
+ * to earn within them, as sums that decay with each request. It makes no decision.
  */
 final class ExcessEstimate {
-    private static final double DECAY = 0.98; // a request: some fifty count
+    private static final double DECAY = 0.98; // per request: about the last fifty count
 
     private double expectedWorthSum;
     private double expectedCostSum;
 
-    /** One request let in: its expected worth inside the quota and its expected cost beyond it. */
+    /** Adds an admitted request with its expected worth within the quota and its expected cost beyond it. */
     void record(double expectedWorth, double expectedCost) {
         expectedWorthSum = DECAY * expectedWorthSum + expectedWorth;
         expectedCostSum = DECAY * expectedCostSum + expectedCost;
--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -4,15 +4,22 @@
 import java.util.Arrays;
 
 /**
- * The command line: {@code serve} is one real api gateway, {@code wirehost} the module on the simulator's wire,
- * {@code rehearse} a short run of the former for the build, {@code scale} a run of the module at a fleet's size,
- * {@code soak} real gateways under faults. Only the command that is asked for loads its classes.
+ * Entry point of the command line. Only the classes of the given command are loaded.
+ *
+ * <ul>
+ *   <li>{@code serve} runs one API gateway.
+ *   <li>{@code rehearse} runs a gateway for a short time against itself; the build records the classes that it loads.
+ *   <li>{@code wirehost} connects the decision module to the simulator over standard input and output.
+ *   <li>{@code scale} measures the decision module at the size of a fleet.
+ *   <li>{@code soak} runs real gateways under injected faults.
+ * </ul>
  */
 public final class Main {
-    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_USAGE = 2; // exit status for a usage error
 
     private Main() {}
 
+    /** Runs the command that the first argument names. */
     public static void main(String[] args) throws IOException {
         if (args.length > 0 && args[0].equals("scale")) {
             System.exit(deckfall.scale.Scale.run(Arrays.copyOfRange(args, 1, args.length)));
--- a/src/main/java/deckfall/PeerMessage.java
+++ b/src/main/java/deckfall/PeerMessage.java
@@ -6,28 +6,35 @@
 import java.util.zip.CRC32;
 
 /**
- * A message between gateways and its bytes: version, check sum, the sender's life, the life it knows of the
- * receiver, its own count of messages to the receiver and the last one it had from there; then entries on
- * customers. Translation only: amounts are fixed point, held within what their field can say.
+ * A message between two gateways and its binary form: version, checksum, the sender's epoch, the receiver's epoch as
+ * far as the sender knows it, the serial number of this message, the serial number of the last message received from
+ * the receiver, and entries on customers. An epoch is one run of a gateway process.
+ *
+ * <p>This class only translates. Amounts are fixed-point numbers that are clamped to the range of their fields.
  */
 record PeerMessage(int epoch, int receiverEpoch, int serial, int receivedSerial, List<Entry> entries) {
     static final int HEADER_BYTES = 16;
-    private static final int CHECKSUM_START = 3;
-    static final int MAX_ENTRY_BYTES = 27; // the longest entry
+    static final int MAX_ENTRY_BYTES = 27;
+    private static final int CHECKSUM_START = 3; // the version byte before the checksum is covered too
+    private static final int BASE_ENTRY_BYTES = 17; // the fields that every entry has
+    private static final int SET_BYTES = 4; // first and spread, in reports only
+    private static final int FULLNESS_BYTES = 2;
+    private static final int CAP_UNITS_BYTES = 4;
     private static final byte VERSION = 3;
     private static final int ANSWER_FLAG = 1;
     private static final int REPLY_WANTED_FLAG = 2;
     private static final int CAP_FLAG = 4;
     private static final int UNINFORMED_FLAG = 8;
     private static final int LEVEL_FLAG = 16;
-    private static final double FIXED_POINT_PER_UNIT = 16; // fixed point of units
-    private static final double FIXED_POINT_PER_BURST = 30_000; // fixed point of a store's filling
+    private static final double FIXED_POINT_PER_UNIT = 16; // steps in one unit
+    private static final double FIXED_POINT_PER_BURST = 30_000; // steps in a full quota bucket
     private static final int MAX_UNSIGNED_SHORT = 0xffff;
 
     /**
-     * One customer. From a gateway of its set: units used so far and wanted beside, its demand, its view of the
-     * store where it has one. The answer of a keeper: units booked, units granted of what was wanted, the demand of
-     * the others, the store, ceiling units given so far in the receiver's life.
+     * What a message says about one customer. A report from a gateway of the customer's set carries the running total
+     * of used units, the units wanted in addition, the gateway's demand and, if it has one, its view of the quota
+     * level. An answer from an owner carries the units booked, the units granted of those wanted, the demand of the
+     * other gateways, the quota level and the running total of cap units given in the receiver's epoch.
      */
     record Entry(
             boolean answer,
@@ -46,7 +53,10 @@
             int openRequests,
             double capUnitsGiven) {
         private int encodedLength() {
-            return 17 + (answer ? 0 : 4) + (answer || hasLevel ? 2 : 0) + (answer && cap ? 4 : 0);
+            return BASE_ENTRY_BYTES
+                    + (answer ? 0 : SET_BYTES)
+                    + (answer || hasLevel ? FULLNESS_BYTES : 0)
+                    + (answer && cap ? CAP_UNITS_BYTES : 0);
         }
 
         private void encode(ByteBuffer buffer) {
@@ -60,8 +70,9 @@
             buffer.putInt((int) Math.round(usedUnits * FIXED_POINT_PER_UNIT))
                     .putShort(toUnsignedShort(wantedUnits * FIXED_POINT_PER_UNIT));
             buffer.putShort(toUnsignedShort(demand * FIXED_POINT_PER_UNIT)).putShort(toUnsignedShort(openRequests));
-            if (answer || hasLevel)
+            if (answer || hasLevel) {
                 buffer.putShort((short) Math.round(Math.max(-1, Math.min(1, fullness)) * FIXED_POINT_PER_BURST));
+            }
             if (answer && cap) buffer.putInt((int) Math.round(capUnitsGiven * FIXED_POINT_PER_UNIT));
         }
 
@@ -99,13 +110,13 @@
         }
     }
 
-    /** What running total {@code later} is ahead of {@code earlier}, also where the field has run over between. */
+    /** By how much running total {@code later} exceeds {@code earlier}, even if the field has wrapped around. */
     static double unitsAhead(double later, double earlier) {
         return ((int) Math.round(later * FIXED_POINT_PER_UNIT) - (int) Math.round(earlier * FIXED_POINT_PER_UNIT))
                 / FIXED_POINT_PER_UNIT;
     }
 
-    /** Whether count {@code a} comes after {@code b}, also where the field has run over between. */
+    /** Whether serial number {@code later} follows {@code earlier}, even if the field has wrapped around. */
     static boolean isAfter(int later, int earlier) {
         return (short) (later - earlier) > 0;
     }
@@ -114,6 +125,7 @@
         return (short) Math.max(0, Math.min(MAX_UNSIGNED_SHORT, Math.round(value)));
     }
 
+    /** The binary form of the message, with its checksum. */
     byte[] encode() {
         int size =
                 HEADER_BYTES + entries.stream().mapToInt(Entry::encodedLength).sum();
@@ -130,7 +142,7 @@
         return data;
     }
 
-    /** Null where the message is short, damaged or of another version. */
+    /** Decodes a message; returns null if it is truncated, corrupted or of another version. */
     static PeerMessage decode(byte[] data) {
         if (data.length < HEADER_BYTES || data[0] != VERSION) return null;
         ByteBuffer buffer = ByteBuffer.wrap(data, 1, data.length - 1);
