--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -10,7 +10,7 @@
 final class CallBudget {
     private static final double FLEET_START_RATE = 400; // calls per second of all gateways at first
     private static final double MIN_RATE = 0.5; // calls per second: rare calls detect that the counter has recovered
-    private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first late reply
+    private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first congested reply
     private static final double GROWTH_SHARE = 0.2; // of the rate, each second after slow start
     private static final double GROWTH_STEP = 0.1; // calls per second added each second, so that small shares catch up
     private static final double RECOVERY_FACTOR = 5; // faster growth while far below the sustained rate
@@ -102,8 +102,8 @@
             timelyAnswers++;
             double recovery = rate < RECOVERY_THRESHOLD * sustainedRate ? RECOVERY_FACTOR : 1;
             double growth = inSlowStart ? SLOW_START_GROWTH * rate : GROWTH_STEP + GROWTH_SHARE * rate * recovery;
-            if (price(now) > minPrice)
-                rate += seconds * growth; // a reply to few calls is no evidence for a higher rate
+            // At the minimum price few calls are made, and their replies are no evidence for a higher rate.
+            if (price(now) > minPrice) rate += seconds * growth;
             return;
         }
         if (timelyAnswers >= MIN_TIMELY_ANSWERS) sustainedRate = rate;
--- a/src/main/java/deckfall/wire/Fields.java
+++ b/src/main/java/deckfall/wire/Fields.java
@@ -3,16 +3,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The name=value pairs of one line; names the field at fault when one is missing or malformed. */
+/**
+ * The {@code name=value} pairs of one line, with typed access. A field that is missing or malformed causes a
+ * {@link WireFormatException} that names it.
+ */
 public final class Fields {
     private final Map<String, String> values = new TreeMap<>();
 
-    /** Fields that were read elsewhere, under the same names. */
+    /** Wraps pairs that were parsed elsewhere. */
     public Fields(Map<String, String> values) {
         this.values.putAll(values);
     }
 
-    /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
+    /** Parses pairs that are separated by single spaces. */
     Fields(String text) {
         int start = 0;
         while (start < text.length()) {
@@ -35,10 +38,12 @@
         return value;
     }
 
+    /** Whether the field is present, empty or not. */
     boolean has(String name) {
         return values.containsKey(name);
     }
 
+    /** The value of a field that has to be present and not empty. */
     String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
@@ -51,6 +56,7 @@
         return values.getOrDefault(name, defaultValue);
     }
 
+    /** The finite number in a field that has to be present. */
     double number(String name) {
         String value = required(name);
         try {
@@ -59,11 +65,12 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below with the field's name
+            // reported below, with the name of the field
         }
         throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
     }
 
+    /** The finite number in a field, or the default if the field is absent. */
     public double number(String name, double defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
@@ -81,7 +88,7 @@
         return has(name) ? longNumber(name) : defaultValue;
     }
 
-    /** A whole number that fits an int. */
+    /** A whole number in the range of an int. */
     int intNumber(String name) {
         long value = longNumber(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
@@ -94,6 +101,7 @@
         return has(name) ? intNumber(name) : defaultValue;
     }
 
+    /** A truth value, written as 1, true, 0 or false. */
     boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
@@ -106,7 +114,7 @@
         };
     }
 
-    /** Numbers set apart by commas; none where the field is absent or empty. */
+    /** Numbers separated by commas; none if the field is absent, empty or "-". */
     double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals("-")) {
@@ -124,6 +132,7 @@
         return numbers;
     }
 
+    /** Bytes in hexadecimal digits; none if the field is "-". */
     byte[] bytes(String name) {
         String value = text(name);
         if (value.equals("-")) {
--- a/src/main/java/deckfall/wire/Main.java
+++ b/src/main/java/deckfall/wire/Main.java
@@ -7,16 +7,19 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** The command line: {@code wirehost} answers the simulator's wire on standard input and output. */
+/** Entry point of {@code wirehost}, which serves the simulator's protocol on standard input and output. */
 public final class Main {
     private static final int BUFFER_BYTES = 1 << 16;
+    private static final int EXIT_MALFORMED_INPUT = 1;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
+    /** Runs until the input ends; exits with status 1 if the input is malformed. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.err.println("usage: deckfall wirehost");
-            System.exit(2);
+            System.exit(EXIT_USAGE);
         }
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_BYTES);
         BufferedWriter out =
@@ -25,7 +28,7 @@
             new WireHost(in, out).run();
         } catch (WireFormatException exception) {
             System.err.println(exception.getMessage());
-            System.exit(1);
+            System.exit(EXIT_MALFORMED_INPUT);
         }
     }
 }
--- a/src/main/java/deckfall/wire/ReplyWriter.java
+++ b/src/main/java/deckfall/wire/ReplyWriter.java
@@ -4,16 +4,19 @@
 import deckfall.Gateway.Refusal;
 import java.util.HexFormat;
 
-/** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
+/**
+ * Writes the actions of one instance of the decision module as lines of the reply to a batch. An AT line precedes the
+ * actions whenever the instance differs from that of the line before.
+ */
 final class ReplyWriter implements Actions {
     private final StringBuilder out;
     private final long instance;
-    private final long[] lastInstance;
+    private final long[] lastInstance; // one element, shared by the writers of all instances
 
-    ReplyWriter(StringBuilder out, long instance, long[] lastAt) {
+    ReplyWriter(StringBuilder out, long instance, long[] lastInstance) {
         this.out = out;
         this.instance = instance;
-        this.lastInstance = lastAt;
+        this.lastInstance = lastInstance;
     }
 
     private StringBuilder beginLine(String name) {
@@ -24,7 +27,7 @@
         return out.append(name);
     }
 
-    /** Three decimals, the simulator's microsecond, without an exponent. */
+    /** Formats milliseconds or units with three decimals, the simulator's resolution, and without an exponent. */
     private static String formatNumber(double value) {
         long thousandths = Math.round(value * 1000);
         String sign = thousandths < 0 ? "-" : "";
--- a/src/main/java/deckfall/wire/SettingsReader.java
+++ b/src/main/java/deckfall/wire/SettingsReader.java
@@ -11,13 +11,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Translates the pairs of a start message; absent keys mean that the thing they speak of is not there. */
+/**
+ * Translates the fields of a start message to the settings of a gateway. An absent key means that the feature it
+ * configures is not available.
+ */
 public final class SettingsReader {
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
     private static final double DEFAULT_COUNTER_TIMEOUT_MS = 50;
 
     private SettingsReader() {}
 
+    /** Reads all settings; fails if a required field is missing or a value is malformed. */
     public static Settings read(Fields fields) {
         Limits limits = new Limits(
                 fields.intNumber("limits.max_attempts", 1),
--- a/src/main/java/deckfall/wire/WireFormatException.java
+++ b/src/main/java/deckfall/wire/WireFormatException.java
@@ -1,6 +1,6 @@
 package deckfall.wire;
 
-/** A line that cannot be read; the message tells what is wrong with it. */
+/** Thrown for a line or a field that cannot be parsed; the message says what is wrong with it. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/deckfall/wire/WireHost.java
+++ b/src/main/java/deckfall/wire/WireHost.java
@@ -15,13 +15,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
+/**
+ * Runs many instances of the decision module under the simulator: translates its lines to events and the actions of
+ * the instances to lines of the reply.
+ */
 final class WireHost {
+    private static final long NO_INSTANCE = Long.MIN_VALUE;
+
     private final BufferedReader in;
     private final Writer out;
     private final Map<Long, DecisionModule> modules = new TreeMap<>();
-    private final Map<Integer, List<Host>> hostLists = new TreeMap<>();
-    private final long[] lastInstance = {Long.MIN_VALUE};
+    private final Map<Integer, List<Host>> hostLists = new TreeMap<>(); // by page
+    private final long[] lastInstance = {NO_INSTANCE}; // that of the last line in the reply
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private String line = "";
@@ -31,7 +36,11 @@
         this.out = out;
     }
 
-    /** Answers batches until the input ends; a {@link WireFault} names the line and what is wrong with it. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws WireFormatException if a line cannot be parsed; the message names the line and what is wrong with it
+     */
     void run() throws IOException {
         try {
             while (readNextLine()) {
@@ -68,9 +77,9 @@
         Fields header = parseFields();
         double now = header.number("moment_ms");
         long turn = header.longNumber("turn");
-        lastInstance[0] = Long.MIN_VALUE;
+        lastInstance[0] = NO_INSTANCE;
         reply.setLength(0);
-        long target = Long.MIN_VALUE;
+        long target = NO_INSTANCE;
         while (true) {
             if (!readNextLine()) {
                 throw new WireFormatException("input ended inside a batch");
@@ -93,7 +102,7 @@
     }
 
     private void handleMessage(double now, long target, String name) {
-        if (target == Long.MIN_VALUE) {
+        if (target == NO_INSTANCE) {
             throw new WireFormatException("'" + name + "' before any TARGET_INSTANCE");
         }
         Fields fields = parseFields();
@@ -114,7 +123,7 @@
         deliverEvent(now, module, name, fields);
     }
 
-    /** An event of an instance that was started. */
+    /** Passes an event to an instance that was started. */
     private void deliverEvent(double now, DecisionModule module, String name, Fields fields) {
         switch (name) {
             case "MEMBERSHIP" -> handleMembership(now, module, fields);
