--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -22,22 +22,22 @@
     private GatewayHarness gateway;
     private int requests;
 
-    private static GatewayHarness newGateway(boolean counter) {
-        Settings s = GatewayHarness.settings(0, GATEWAYS);
+    private static GatewayHarness newGateway(boolean hasCounter) {
+        Settings defaults = GatewayHarness.settings(0, GATEWAYS);
         return new GatewayHarness(
                         0,
                         new Settings(
-                                s.seed(),
+                                defaults.seed(),
                                 0,
                                 GATEWAYS,
                                 "a",
                                 false,
-                                s.classes(),
+                                defaults.classes(),
                                 List.of(SLOW),
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
-                                s.rules(),
-                                new Coordination(counter, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
+                                defaults.rules(),
+                                new Coordination(hasCounter, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
     }
 
@@ -156,10 +156,10 @@
                         new AttemptResult(id, 0, gateway.hostOf(id), Outcome.OK, 10, true, 1, 0, new double[0]));
             }
         }
-        int first = gateway.sent.size();
+        int sentBefore = gateway.sent.size();
         gateway.advance(2500); // one unit in the store, a quarter of one in an even part
         request();
-        assertEquals(first + 1, gateway.sent.size());
+        assertEquals(sentBefore + 1, gateway.sent.size());
     }
 
     /** Two processes that serve as one gateway let in together what one would. */
@@ -189,8 +189,8 @@
         while (gateway.refused.isEmpty()) {
             request();
         }
-        int first = gateway.sent.size();
-        gateway.sent.forEach(s -> gateway.endAttempt(s.id(), 0, Outcome.OK, 1));
+        int sentBefore = gateway.sent.size();
+        gateway.sent.forEach(attempt -> gateway.endAttempt(attempt.id(), 0, Outcome.OK, 1));
         gateway.module.processCountChanged(gateway.now, 3);
         gateway.module.processCountChanged(gateway.now, processes);
         for (int i = 0; i < 400; i++) {
@@ -200,27 +200,27 @@
                 gateway.endAttempt(id, 0, Outcome.OK, 1);
             }
         }
-        return gateway.sent.size() - first;
+        return gateway.sent.size() - sentBefore;
     }
 
     /** Nothing tells there what the others of the set hold: all would take the same units to be free. */
     @Test
     void withoutAMeterOnlyPlansWithLowExcessCostAreAdmittedOnAnEstimate() {
-        Settings s = GatewayHarness.settings(0, GATEWAYS);
+        Settings defaults = GatewayHarness.settings(0, GATEWAYS);
         Plan cheap = new Plan("cheap", SLOW.rate(), SLOW.burst(), 0, 1, 0, 0.1, 0, 0, 0);
         gateway = new GatewayHarness(
                         0,
                         new Settings(
-                                s.seed(),
+                                defaults.seed(),
                                 0,
                                 GATEWAYS,
                                 "a",
                                 false,
-                                s.classes(),
+                                defaults.classes(),
                                 List.of(SLOW, cheap),
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
-                                s.rules(),
+                                defaults.rules(),
                                 new Coordination(true, 0, 80, 0, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
         requestUntilCounterCall();
--- a/src/test/java/deckfall/DecisionModuleTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -28,22 +28,22 @@
     private static final int MAX_LINE_WIDTH = 120; // the formatter's
 
     private static ClassState state(RequestClass spec, double weight, double delay, double slope) {
-        ClassState c = new ClassState(spec);
-        c.weight = weight;
-        c.meanDelay = delay;
-        c.delaySlope = slope;
-        return c;
+        ClassState classState = new ClassState(spec);
+        classState.weight = weight;
+        classState.meanDelay = delay;
+        classState.delaySlope = slope;
+        return classState;
     }
 
     @Test
     void donationKeepsTheSumOfWeightsAndFavoursTheSlowestClass() {
         ClassState slow = state(GatewayHarness.READ, 0.3, 1500, 2000);
-        ClassState easy = state(GatewayHarness.PAY, 0.4, 100, 2000);
+        ClassState fast = state(GatewayHarness.PAY, 0.4, 100, 2000);
         ClassState idle = state(GatewayHarness.ORDER, 0.3, 300, 2000);
-        assertTrue(DecisionModule.donateWeight(List.of(slow, easy, idle)));
-        assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
-        assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
-        assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
+        assertTrue(DecisionModule.donateWeight(List.of(slow, fast, idle)));
+        assertEquals(1, slow.weight + fast.weight + idle.weight, 1e-9);
+        assertTrue(slow.weight > 0.3 && fast.weight < 0.4 && idle.weight < 0.3);
+        assertTrue(0.4 - fast.weight > 0.3 - idle.weight, "gives by surplus");
     }
 
     @Test
@@ -51,8 +51,8 @@
         ClassState slow = state(GatewayHarness.READ, 0.5, 60_000, 100);
         ClassState donor = state(GatewayHarness.PAY, 0.5, 500, 1000);
         DecisionModule.donateWeight(List.of(slow, donor));
-        double clamp = (0.9 * DecisionModule.delayGoalMs(donor) - 500) / 1000;
-        assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
+        double maxDonation = (0.9 * DecisionModule.delayGoalMs(donor) - 500) / 1000;
+        assertTrue(donor.weight >= 0.5 - maxDonation && donor.weight < 0.5 && donor.weight > 0);
     }
 
     @Test
@@ -69,15 +69,15 @@
 
     @Test
     void implausibleSlopeIsDiscarded() {
-        ClassState c = state(GatewayHarness.READ, 0.5, 800, 1234);
-        c.previousWeight = 0.4;
-        c.previousDelay = 700; // more weight, more delay: the wrong sign
-        c.measureSlope(DecisionModule.delayGoalMs(c) * 0.1);
-        assertEquals(1234, c.delaySlope);
-        c.weight = 0.6;
-        c.meanDelay = 500;
-        c.measureSlope(DecisionModule.delayGoalMs(c) * 0.1);
-        assertEquals(3000, c.delaySlope, 1e-6);
+        ClassState classState = state(GatewayHarness.READ, 0.5, 800, 1234);
+        classState.previousWeight = 0.4;
+        classState.previousDelay = 700; // more weight, more delay: the wrong sign
+        classState.measureSlope(DecisionModule.delayGoalMs(classState) * 0.1);
+        assertEquals(1234, classState.delaySlope);
+        classState.weight = 0.6;
+        classState.meanDelay = 500;
+        classState.measureSlope(DecisionModule.delayGoalMs(classState) * 0.1);
+        assertEquals(3000, classState.delaySlope, 1e-6);
     }
 
     @Test
@@ -98,10 +98,10 @@
         for (int i = 0; i < 30; i++) {
             gateway.request("r" + i, "read");
         }
-        int before = gateway.sent.size();
+        int sentBefore = gateway.sent.size();
         gateway.advance(10);
         gateway.endAttempt("r0", 0, Outcome.OK, 10);
-        assertEquals(before + 1, gateway.sent.size());
+        assertEquals(sentBefore + 1, gateway.sent.size());
     }
 
     @Test
@@ -110,10 +110,10 @@
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
             gateway.request(id, "read");
-            boolean bad = gateway.hostOf(id).equals("a1");
-            gateway.advance(bad ? 1 : 30);
-            gateway.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
-            if (bad && gateway.attemptCount(id) > 1) {
+            boolean fails = gateway.hostOf(id).equals("a1");
+            gateway.advance(fails ? 1 : 30);
+            gateway.endAttempt(id, 0, fails ? Outcome.ERROR : Outcome.OK, fails ? 1 : 30);
+            if (fails && gateway.attemptCount(id) > 1) {
                 gateway.endAttempt(id, 1, Outcome.OK, 30);
             }
         }
@@ -130,11 +130,11 @@
         }
         gateway.request("r", "read");
         gateway.request("p", "pay");
-        String stuck = gateway.hostOf("r");
+        String silentHost = gateway.hostOf("r");
         gateway.advance(700);
         assertEquals(List.of("r"), gateway.cancelled); // what must not run twice is left to run
         gateway.endAttempt("r", 0, Outcome.CANCELLED, 700);
-        assertNotEquals(stuck, gateway.hostOf("r"));
+        assertNotEquals(silentHost, gateway.hostOf("r"));
         assertEquals(1, gateway.attemptCount("p"));
     }
 
@@ -168,8 +168,8 @@
         for (int i = 0; i < 60; i++) {
             hosts.add(new Host("a" + i, "a", "std", 0, HostState.RUNNING, 1, i == 7 ? 1000 : 0));
         }
-        int cold = 0;
-        int total = 0;
+        int coldAttempts = 0;
+        int totalAttempts = 0;
         for (int gatewayNumber = 0; gatewayNumber < 300; gatewayNumber++) {
             GatewayHarness gateway =
                     new GatewayHarness(1000, GatewayHarness.settings(gatewayNumber, 300, gatewayNumber));
@@ -177,32 +177,32 @@
             for (int i = 0; i < 3; i++) {
                 gateway.request("r" + i, "read");
             }
-            total += gateway.sent.size();
-            cold += (int)
+            totalAttempts += gateway.sent.size();
+            coldAttempts += (int)
                     gateway.sent.stream().filter(s -> s.host().equals("a7")).count();
         }
         // a fifth of what the others get, times the multiple of two, is the most
-        assertTrue(cold < 0.4 * total / 60, cold + " of " + total);
+        assertTrue(coldAttempts < 0.4 * totalAttempts / 60, coldAttempts + " of " + totalAttempts);
     }
 
     @Test
     void hostThatFailsOneClassStillServesTheOthers() {
         // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
-        int orders = 0;
-        int reads = 0;
+        int failingAttempts = 0;
+        int otherAttempts = 0;
         for (int i = 0; i < 120; i++) {
-            String cls = i % 2 == 0 ? "pay" : "read";
-            String id = cls + i;
-            gateway.request(id, cls);
-            boolean bad = gateway.hostOf(id).equals("a1") && i % 2 == 0;
-            orders += bad && i >= 30 ? 1 : 0;
-            reads += gateway.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
+            String requestClass = i % 2 == 0 ? "pay" : "read";
+            String id = requestClass + i;
+            gateway.request(id, requestClass);
+            boolean fails = gateway.hostOf(id).equals("a1") && i % 2 == 0;
+            failingAttempts += fails && i >= 30 ? 1 : 0;
+            otherAttempts += gateway.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
             gateway.advance(20);
-            gateway.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
+            gateway.endAttempt(id, 0, fails ? Outcome.ERROR : Outcome.OK, 20);
         }
-        assertTrue(orders < 5, "failing class sent on " + orders);
-        assertTrue(reads > 15, "other class kept away, " + reads);
+        assertTrue(failingAttempts < 5, "failing class sent on " + failingAttempts);
+        assertTrue(otherAttempts > 15, "other class kept away, " + otherAttempts);
     }
 
     @Test
@@ -236,12 +236,14 @@
         // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         gateway.request("r", "read");
-        String full = gateway.hostOf("r");
+        String refusingHost = gateway.hostOf("r");
         gateway.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
         for (int i = 0; i < 9; i++) {
             gateway.request("x" + i, "read");
         }
-        assertEquals(1, gateway.sent.stream().filter(s -> s.host().equals(full)).count());
+        assertEquals(
+                1,
+                gateway.sent.stream().filter(s -> s.host().equals(refusingHost)).count());
     }
 
     @Test
@@ -254,9 +256,9 @@
             }
         }
         gateway.advance(20);
-        int before = gateway.sent.size();
+        int sentBefore = gateway.sent.size();
         gateway.request("x", "read");
-        assertTrue(gateway.sent.size() > before);
+        assertTrue(gateway.sent.size() > sentBefore);
     }
 
     @Test
--- a/src/test/java/deckfall/GatewayHarness.java
+++ b/src/test/java/deckfall/GatewayHarness.java
@@ -129,13 +129,13 @@
                 + failed.stream().filter(id::equals).count();
     }
 
-    void runUntil(double end) {
-        while (!timers.isEmpty() && timers.peek().atMs() <= end) {
+    void runUntil(double endMs) {
+        while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.atMs());
             module.timerFired(now, timer.token());
         }
-        now = end;
+        now = endMs;
     }
 
     void advance(double ms) {
--- a/src/test/java/deckfall/QuotaSharingTest.java
+++ b/src/test/java/deckfall/QuotaSharingTest.java
@@ -14,7 +14,7 @@
 
 /** Admission by parts, tells between gateways, and giving of ceiling units. */
 class QuotaSharingTest {
-    private final List<GatewayHarness> all = new ArrayList<>();
+    private final List<GatewayHarness> gateways = new ArrayList<>();
     private int sequence;
     private final Set<String> ended = new HashSet<>();
     private double admittedUnits;
@@ -24,36 +24,37 @@
 
     private void startGateways(int count) {
         for (int i = 0; i < count; i++) {
-            all.add(new GatewayHarness(1000, GatewayHarness.settings(i, count)).withHosts("a1", "a2", "a3"));
+            gateways.add(new GatewayHarness(1000, GatewayHarness.settings(i, count)).withHosts("a1", "a2", "a3"));
         }
     }
 
     /** Carries tells with a beat's delay and answers what was sent. */
     private void advance(double ms) {
-        for (double end = all.get(0).now + ms; all.get(0).now < end; ) {
-            for (GatewayHarness gateway : all) {
+        for (double end = gateways.get(0).now + ms; gateways.get(0).now < end; ) {
+            for (GatewayHarness gateway : gateways) {
                 gateway.advance(10);
             }
-            for (int from = 0; from < all.size(); from++) {
-                List<GatewayHarness.SentMessage> told = List.copyOf(all.get(from).messages);
-                all.get(from).messages.clear();
-                for (GatewayHarness.SentMessage message : told) {
+            for (int from = 0; from < gateways.size(); from++) {
+                List<GatewayHarness.SentMessage> messages = List.copyOf(gateways.get(from).messages);
+                gateways.get(from).messages.clear();
+                for (GatewayHarness.SentMessage message : messages) {
                     sequence++;
                     if (dropsAllMessages || losesMessages && sequence % 4 == 0) {
                         continue;
                     }
                     for (int copy = 0; copy < (duplicatesMessages ? 2 : 1); copy++) {
-                        all.get(message.peer())
+                        gateways.get(message.peer())
                                 .module
-                                .peerMessageReceived(all.get(message.peer()).now, from, message.data());
+                                .peerMessageReceived(gateways.get(message.peer()).now, from, message.data());
                     }
                 }
             }
-            for (GatewayHarness gateway : all) {
-                for (GatewayHarness.SentAttempt s : List.copyOf(gateway.sent)) {
-                    if (ended.add(s.id())) {
-                        admittedUnits += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                        gateway.endAttempt(s.id(), 0, Gateway.Outcome.OK, 5);
+            for (GatewayHarness gateway : gateways) {
+                for (GatewayHarness.SentAttempt attempt : List.copyOf(gateway.sent)) {
+                    if (ended.add(attempt.id())) {
+                        admittedUnits += Double.parseDouble(
+                                attempt.id().substring(attempt.id().indexOf(':') + 1));
+                        gateway.endAttempt(attempt.id(), 0, Gateway.Outcome.OK, 5);
                     }
                 }
             }
@@ -61,19 +62,19 @@
     }
 
     private void request(int gateway, String plan, double units) {
-        all.get(gateway).request("q" + sequence++ + ":" + units, "read", plan, 42, units, all.size());
+        gateways.get(gateway).request("q" + sequence++ + ":" + units, "read", plan, 42, units, gateways.size());
     }
 
     /** Units let in over so many seconds of five times the small quota, asked at the given gateways. */
     private double admittedUnderLoad(int seconds, int... loadedGateways) {
-        double before = admittedUnits;
+        double admittedBefore = admittedUnits;
         for (int i = 0; i < seconds * 10; i++) {
             for (int gateway : loadedGateways) {
                 request(gateway, "small", 2);
             }
             advance(100);
         }
-        return admittedUnits - before;
+        return admittedUnits - admittedBefore;
     }
 
     private static int[] allGateways(int count) {
@@ -121,10 +122,10 @@
         // glasopis-prod-later big-1: 45% were refused with half of the quota unused, 20% sent on beyond quotas
         startGateways(200);
         advance(100);
-        double spread = admittedUnderLoad(6, 3, 50, 51, 99, 140, 199);
-        assertTrue(spread >= 0.85 * (12 + 24) && spread <= 1.1 * (12 + 24), "let in " + spread);
-        double moved = admittedUnderLoad(6, 7, 120); // at one stroke to two others
-        assertTrue(moved >= 0.85 * 24 && moved <= 1.1 * 24, "let in after the move " + moved);
+        double beforeTheMove = admittedUnderLoad(6, 3, 50, 51, 99, 140, 199);
+        assertTrue(beforeTheMove >= 0.85 * (12 + 24) && beforeTheMove <= 1.1 * (12 + 24), "let in " + beforeTheMove);
+        double afterTheMove = admittedUnderLoad(6, 7, 120); // at one stroke to two others
+        assertTrue(afterTheMove >= 0.85 * 24 && afterTheMove <= 1.1 * 24, "let in after the move " + afterTheMove);
     }
 
     @Test
@@ -133,10 +134,12 @@
         advance(100);
         admittedUnderLoad(4, 5, 6, 7);
         int owner = DecisionState.rankGateways(42, 0, 60, 60, 2)[0];
-        double now = all.get(owner).now;
-        all.set(owner, new GatewayHarness(now, GatewayHarness.settings(owner, 60)).withHosts("a1", "a2", "a3"));
-        double after = admittedUnderLoad(4, 5, 6, 7);
-        assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "let in after the restart " + after);
+        double now = gateways.get(owner).now;
+        gateways.set(owner, new GatewayHarness(now, GatewayHarness.settings(owner, 60)).withHosts("a1", "a2", "a3"));
+        double afterTheRestart = admittedUnderLoad(4, 5, 6, 7);
+        assertTrue(
+                afterTheRestart >= 0.5 * 16 && afterTheRestart <= 16 + 6,
+                "let in after the restart " + afterTheRestart);
     }
 
     @Test
@@ -144,7 +147,7 @@
         startGateways(3);
         int owner = DecisionState.rankGateways(42, 0, 3, 3, 2)[0];
         int member = owner == 0 ? 1 : 0;
-        GatewayHarness gateway = all.get(owner);
+        GatewayHarness gateway = gateways.get(owner);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             PeerMessage.Entry entry =
                     new PeerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
@@ -157,8 +160,9 @@
                 gateway.now, member, new PeerMessage(600, 0, 1, 0, List.of(unknownPlan)).encode());
         gateway.advance(100);
         assertTrue(gateway.messages.isEmpty());
-        PeerMessage.Entry good = new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
-        byte[] data = new PeerMessage(700, 0, 1, 0, List.of(good)).encode();
+        PeerMessage.Entry validEntry =
+                new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
+        byte[] data = new PeerMessage(700, 0, 1, 0, List.of(validEntry)).encode();
         gateway.module.peerMessageReceived(gateway.now, member, data);
         gateway.module.peerMessageReceived(gateway.now, member, data);
         gateway.advance(100);
@@ -173,8 +177,8 @@
 
     @Test
     void runningTotalsAndSerialNumbersWrapAround() {
-        double far = (1L << 31) / 16.0;
-        assertEquals(3, PeerMessage.unitsAhead(far + 1, far - 2));
+        double wrapPoint = (1L << 31) / 16.0;
+        assertEquals(3, PeerMessage.unitsAhead(wrapPoint + 1, wrapPoint - 2));
         assertTrue(PeerMessage.isAfter(2, 65_534) && !PeerMessage.isAfter(65_534, 2));
     }
 
@@ -192,30 +196,32 @@
         assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "let in " + units);
         dropsAllMessages = false;
         advance(6000);
-        double healed = admittedUnderLoad(10, member);
-        assertTrue(healed >= 0.85 * (12 + 40) && healed <= 1.1 * (12 + 40), "let in when healed " + healed);
+        double afterRecovery = admittedUnderLoad(10, member);
+        assertTrue(
+                afterRecovery >= 0.85 * (12 + 40) && afterRecovery <= 1.1 * (12 + 40),
+                "let in when healed " + afterRecovery);
     }
 
     @Test
     void corruptedMessagesAreDropped() {
         startGateways(2);
-        all.get(0).request("a", "read", "small", 42, 4, 2);
-        all.get(1).request("b", "read", "small", 42, 4, 2);
-        all.get(0).advance(400);
-        all.get(1).advance(400);
-        byte[] good = all.stream()
+        gateways.get(0).request("a", "read", "small", 42, 4, 2);
+        gateways.get(1).request("b", "read", "small", 42, 4, 2);
+        gateways.get(0).advance(400);
+        gateways.get(1).advance(400);
+        byte[] validData = gateways.stream()
                 .flatMap(gateway -> gateway.messages.stream())
                 .findFirst()
                 .orElseThrow()
                 .data();
-        for (int i = 0; i < good.length; i++) {
-            byte[] bad = good.clone();
-            bad[i] ^= 0x10;
-            assertNull(PeerMessage.decode(bad), "byte " + i);
+        for (int i = 0; i < validData.length; i++) {
+            byte[] corruptedData = validData.clone();
+            corruptedData[i] ^= 0x10;
+            assertNull(PeerMessage.decode(corruptedData), "byte " + i);
         }
-        assertNull(PeerMessage.decode(java.util.Arrays.copyOf(good, good.length - 1)));
+        assertNull(PeerMessage.decode(java.util.Arrays.copyOf(validData, validData.length - 1)));
         assertNull(PeerMessage.decode(new byte[0]));
-        assertNotNull(PeerMessage.decode(good));
+        assertNotNull(PeerMessage.decode(validData));
     }
 
     @Test
@@ -246,7 +252,7 @@
     @Test
     void openRequestsAreLimited() {
         startGateways(1);
-        GatewayHarness gateway = all.get(0);
+        GatewayHarness gateway = gateways.get(0);
         for (int i = 0; i < 4; i++) {
             gateway.request("o" + i, "read", "open", 5, 1, 1);
         }
@@ -260,7 +266,7 @@
     @Test
     void requestsBeyondTheQuotaAreRefusedAtOnce() {
         startGateways(1);
-        GatewayHarness gateway = all.get(0);
+        GatewayHarness gateway = gateways.get(0);
         for (int i = 0; i < 5; i++) {
             gateway.request("o" + i, "read", "small", 5, 4, 1);
         }
@@ -275,11 +281,11 @@
         PeerMessage.Entry entry =
                 new PeerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int epoch : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
-            int before = gateway.messages.size();
+            int messagesBefore = gateway.messages.size();
             gateway.module.peerMessageReceived(
                     gateway.now, 1, new PeerMessage(epoch, 0, 1, 0, List.of(entry)).encode());
             gateway.advance(200);
-            assertTrue(gateway.messages.size() > before, "no answer to life " + epoch);
+            assertTrue(gateway.messages.size() > messagesBefore, "no answer to life " + epoch);
         }
     }
 }
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -125,16 +125,16 @@
                 gateway.now,
                 HostListKind.CHANGES,
                 List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, gateway.now)));
-        int before = gateway.sent.size();
+        int sentBefore = gateway.sent.size();
         for (int i = 100; i < 150; i++) {
             sendSteadyLoad(gateway, i);
         }
-        long cold = gateway.sent.stream()
-                .skip(before)
+        long coldAttempts = gateway.sent.stream()
+                .skip(sentBefore)
                 .filter(s -> s.host().equals("c1"))
                 .count();
         // 50 requests a second, half of them for each warm host: cold 0.2 x multiple 2 = 10 for all gateways
-        assertTrue(cold >= 1 && cold < 10, "cold host got " + cold);
+        assertTrue(coldAttempts >= 1 && coldAttempts < 10, "cold host got " + coldAttempts);
     }
 
     /** One request each 20 ms, answered after 160 ms, so that eight are out at a time. */
@@ -148,14 +148,14 @@
 
     @Test
     void capIsSharedEvenlyAndARestartGrantsNoBurst() {
-        int gatewayNumber =
+        int primaryOwner =
                 DecisionState.rankGateways(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
         double admitted = 0;
-        for (int life = 0; life < 4; life++) {
-            GatewayHarness gateway = new GatewayHarness(1000 + life * 500, GatewayHarness.settings(gatewayNumber, 2))
+        for (int start = 0; start < 4; start++) {
+            GatewayHarness gateway = new GatewayHarness(1000 + start * 500, GatewayHarness.settings(primaryOwner, 2))
                     .withHosts("a1", "a2");
             for (int i = 0; i < 25; i++) {
-                gateway.request("r" + life + "-" + i, "read", "capped", 9, 1, 2);
+                gateway.request("r" + start + "-" + i, "read", "capped", 9, 1, 2);
                 gateway.advance(20);
             }
             admitted += gateway.sent.size();
@@ -184,28 +184,28 @@
     /** A further attempt may wait for its connection; it is to reach its host within the key's window all the same. */
     @Test
     void retryOfAKeyedRequestLeavesTimeToConnectWithinItsWindow() {
-        for (double at : new double[] {550, 650}) {
-            Settings s = GatewayHarness.settings(0, 1);
-            Limits slow = new Limits(4, false, true, true, true, true, 500, 400);
+        for (double elapsedMs : new double[] {550, 650}) {
+            Settings defaults = GatewayHarness.settings(0, 1);
+            Limits limits = new Limits(4, false, true, true, true, true, 500, 400);
             GatewayHarness gateway = new GatewayHarness(
                             1000,
                             new Settings(
-                                    s.seed(),
+                                    defaults.seed(),
                                     0,
                                     1,
-                                    s.zone(),
+                                    defaults.zone(),
                                     false,
-                                    s.classes(),
-                                    s.plans(),
-                                    s.loadMetricNames(),
-                                    slow,
-                                    s.rules(),
-                                    s.coordination()))
+                                    defaults.classes(),
+                                    defaults.plans(),
+                                    defaults.loadMetricNames(),
+                                    limits,
+                                    defaults.rules(),
+                                    defaults.coordination()))
                     .withHosts("a1", "a2");
             gateway.request("o", "order");
-            gateway.advance(at);
-            gateway.endAttempt("o", 0, Outcome.RESET, at);
-            assertEquals(at < 1000 - 400 ? 2 : 1, gateway.attemptCount("o"));
+            gateway.advance(elapsedMs);
+            gateway.endAttempt("o", 0, Outcome.RESET, elapsedMs);
+            assertEquals(elapsedMs < 1000 - 400 ? 2 : 1, gateway.attemptCount("o"));
         }
     }
 }
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -28,20 +28,20 @@
     /** Excess costs a share of its worth, so that it pays to let in more or fewer on a guess. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
-        Settings s = GatewayHarness.settings(0, GATEWAYS);
+        Settings defaults = GatewayHarness.settings(0, GATEWAYS);
         gateway = new GatewayHarness(
                         0,
                         new Settings(
-                                s.seed(),
+                                defaults.seed(),
                                 0,
                                 GATEWAYS,
                                 "a",
                                 false,
-                                s.classes(),
+                                defaults.classes(),
                                 List.of(plan),
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
-                                s.rules(),
+                                defaults.rules(),
                                 new Coordination(true, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
     }
@@ -71,8 +71,9 @@
     }
 
     private int callsFor(long customer) {
-        return (int)
-                gateway.counterCalls.stream().filter(c -> isFor(customer, c)).count();
+        return (int) gateway.counterCalls.stream()
+                .filter(call -> isFor(customer, call))
+                .count();
     }
 
     private void answer(GatewayHarness.CounterCall call, double total) {
@@ -92,13 +93,13 @@
         GatewayHarness.CounterCall call = requestUntilCallFor(CUSTOMER);
         answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         answerCallsThatReturnUnits();
-        int refused = gateway.refused.size();
+        int refusedBefore = gateway.refused.size();
         for (double elapsedMs = 0; elapsedMs < ANSWER_VALID_MS - 1000; elapsedMs += 500) {
             request(CUSTOMER);
             gateway.advance(500);
         }
         assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
-        assertTrue(gateway.refused.size() - refused >= ANSWER_VALID_MS / 500 - 3);
+        assertTrue(gateway.refused.size() - refusedBefore >= ANSWER_VALID_MS / 500 - 3);
     }
 
     /** What the call took for a request that was then refused, and for those that it stands for, is given back. */
@@ -108,11 +109,11 @@
         GatewayHarness.CounterCall call = requestUntilSampledCall();
         answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         gateway.advance(3000);
-        double given = gateway.counterCalls.stream()
+        double returnedUnits = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
                 .mapToDouble(GatewayHarness.CounterCall::amount)
                 .sum();
-        assertEquals(-call.amount(), given, 1e-9, gateway.counterCalls.toString());
+        assertEquals(-call.amount(), returnedUnits, 1e-9, gateway.counterCalls.toString());
     }
 
     /** Many customers ask at once, so that not every request can be called for. */
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -27,7 +27,7 @@
     private static final Plan LARGE = new Plan("large", 12, 24, 0, 2, 0, 1, 0, 0, 0);
     private static final Plan SMALL = new Plan("small", 1, 4, 0, 1, 0, 1, 0, 0, 0);
 
-    private final List<GatewayHarness> all = new ArrayList<>();
+    private final List<GatewayHarness> gateways = new ArrayList<>();
     private final Map<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by number of the metered period
     private final Map<String, Double> counterTotals = new TreeMap<>();
     private final Set<String> ended = new HashSet<>();
@@ -36,23 +36,23 @@
     private int calls;
     private boolean counterAnswers;
 
-    private void startGateways(boolean counter) {
-        counterAnswers = counter;
+    private void startGateways(boolean hasCounter) {
+        counterAnswers = hasCounter;
         for (int i = 0; i < GATEWAYS; i++) {
-            Settings s = GatewayHarness.settings(i, GATEWAYS, i);
-            all.add(new GatewayHarness(
+            Settings defaults = GatewayHarness.settings(i, GATEWAYS, i);
+            gateways.add(new GatewayHarness(
                             0,
                             new Settings(
-                                    s.seed(),
+                                    defaults.seed(),
                                     i,
                                     GATEWAYS,
                                     "a",
                                     false,
-                                    s.classes(),
+                                    defaults.classes(),
                                     List.of(LARGE, SMALL),
                                     List.of(),
                                     new Limits(3, false, true, false, false, true, 500, 100),
-                                    s.rules(),
+                                    defaults.rules(),
                                     new Coordination(true, 0, 80, PERIOD_MS, false, 1, 0, 0, 0, 0)))
                     .withHosts("a1", "a2", "a3", "a4"));
         }
@@ -63,37 +63,51 @@
         double due = 0;
         for (double now = 0; now < RUN_SECONDS * 1000; now += STEP_MS) {
             for (due += demand * plan.rate() * STEP_MS / 1000; due >= 1; due--) {
-                all.get(random.nextInt(GATEWAYS)).request("q" + requests++, "read", plan.name(), 42, 1, GATEWAYS);
+                gateways.get(random.nextInt(GATEWAYS)).request("q" + requests++, "read", plan.name(), 42, 1, GATEWAYS);
             }
-            all.forEach(gateway -> advanceOneStep(gateway, plan));
+            gateways.forEach(gateway -> advanceOneStep(gateway, plan));
         }
         return ended.size() / (plan.rate() * RUN_SECONDS);
     }
 
     private void advanceOneStep(GatewayHarness gateway, Plan plan) {
-        int known = (int) Math.floor((gateway.now - METER_DELAY_MS) / PERIOD_MS) - 1;
-        int usedPct = known < 0 ? 0 : 1 + (int) (100 * unitsByPeriod.getOrDefault(known, 0) / plan.rate());
-        for (GatewayHarness.SentAttempt s : List.copyOf(gateway.sent)) {
-            if (ended.add(s.id())) {
-                unitsByPeriod.merge((int) (s.atMs() / PERIOD_MS), 1, Integer::sum);
+        int lastKnownPeriod = (int) Math.floor((gateway.now - METER_DELAY_MS) / PERIOD_MS) - 1;
+        int meterReading = lastKnownPeriod < 0
+                ? 0
+                : 1 + (int) (100 * unitsByPeriod.getOrDefault(lastKnownPeriod, 0) / plan.rate());
+        for (GatewayHarness.SentAttempt attempt : List.copyOf(gateway.sent)) {
+            if (ended.add(attempt.id())) {
+                unitsByPeriod.merge((int) (attempt.atMs() / PERIOD_MS), 1, Integer::sum);
                 gateway.module.attemptEnded(
                         gateway.now,
-                        new AttemptResult(s.id(), 0, s.host(), Outcome.OK, STEP_MS, true, usedPct, 0, new double[0]));
+                        new AttemptResult(
+                                attempt.id(),
+                                0,
+                                attempt.host(),
+                                Outcome.OK,
+                                STEP_MS,
+                                true,
+                                meterReading,
+                                0,
+                                new double[0]));
             }
         }
         List<GatewayHarness.CounterCall> newCalls = List.copyOf(gateway.counterCalls);
         gateway.counterCalls.clear();
         for (GatewayHarness.CounterCall call : newCalls) {
             calls++;
-            Outcome end = counterAnswers ? Outcome.OK : Outcome.TIMEOUT;
+            Outcome outcome = counterAnswers ? Outcome.OK : Outcome.TIMEOUT;
             gateway.module.counterCallEnded(
-                    gateway.now, call.counter(), end, counterTotals.merge(call.counter(), call.amount(), Double::sum));
+                    gateway.now,
+                    call.counter(),
+                    outcome,
+                    counterTotals.merge(call.counter(), call.amount(), Double::sum));
         }
         gateway.advance(STEP_MS);
     }
 
     private double refusedShare() {
-        return all.stream().mapToInt(gateway -> gateway.refused.size()).sum() / (double) requests;
+        return gateways.stream().mapToInt(gateway -> gateway.refused.size()).sum() / (double) requests;
     }
 
     @Test
