--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -63,27 +63,27 @@
         boolean up = true;
         double startedMs;
 
-        SeatServer(int number, boolean returns) {
+        SeatServer(int number, boolean isCold) {
             id = "abc".charAt(number % 3) + "-" + Long.toHexString(random.nextLong());
-            this.isCold = returns;
+            this.isCold = isCold;
         }
 
         Host toHost() {
             return new Host(id, id.substring(0, 1), "std", 0, up ? HostState.RUNNING : HostState.GONE, 1, startedMs);
         }
 
-        double capacityShare(double at) {
-            double done = startedMs > 0 ? (at - startedMs) / rules.warmWithinMs() : 1;
-            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * done);
+        double capacityShare(double atMs) {
+            double progress = startedMs > 0 ? (atMs - startedMs) / rules.warmWithinMs() : 1;
+            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * progress);
         }
 
         void stop() {
             up = false;
-            List<Attempt> held = new ArrayList<>(inService);
-            held.addAll(queue);
+            List<Attempt> lost = new ArrayList<>(inService);
+            lost.addAll(queue);
             inService.clear();
             queue.clear();
-            held.forEach(attempt -> attemptEnded(attempt, Outcome.RESET));
+            lost.forEach(attempt -> attemptEnded(attempt, Outcome.RESET));
         }
 
         void accept(Attempt attempt) {
@@ -108,13 +108,14 @@
         /** A window's budget is that of its first moment, when the server can do least. */
         void measureBudgetUse() {
             for (int first = 0, next = 0; first < attemptTimes.size(); first++) {
-                double from = attemptTimes.get(first);
-                while (next < attemptTimes.size() && attemptTimes.get(next) < from + rules.fallMs()) next++;
-                double n = rules.fallMultiple() * capacityShare(from) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
-                peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (n + 2 * Math.sqrt(n) + 2));
+                double windowStart = attemptTimes.get(first);
+                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.fallMs()) next++;
+                double budget =
+                        rules.fallMultiple() * capacityShare(windowStart) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
+                peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (budget + 2 * Math.sqrt(budget) + 2));
             }
-            double mean = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
-            allowedAttempts += rules.fallMultiple() * mean * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
+            double meanShare = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
+            allowedAttempts += rules.fallMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
             attemptsToColdServers += attemptTimes.size();
         }
     }
@@ -145,8 +146,8 @@
         this.faults = faults;
         random = new Random(seed);
         for (int i = 0; i < count; i++) {
-            SeatServer s = new SeatServer(i, i < cold);
-            servers.put(s.id, s);
+            SeatServer server = new SeatServer(i, i < cold);
+            servers.put(server.id, server);
         }
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
             int number = gateway;
@@ -157,13 +158,14 @@
     }
 
     ColdServerSimulation run() {
-        List<SeatServer> cold = servers.values().stream().filter(s -> s.isCold).toList();
+        List<SeatServer> cold =
+                servers.values().stream().filter(server -> server.isCold).toList();
         scheduleAfter(200, this::requestArrives);
         scheduleAt(COLD_STOP_MS, () -> cold.forEach(SeatServer::stop));
         scheduleAt(COLD_STOP_MS, () -> announce(cold));
         scheduleAt(COLD_RESTART_MS, () -> {
-            cold.forEach(s -> s.startedMs = now);
-            cold.forEach(s -> s.up = true);
+            cold.forEach(server -> server.startedMs = now);
+            cold.forEach(server -> server.up = true);
             announce(cold);
         });
         if (faults.allGatewaysRestart) {
@@ -175,20 +177,20 @@
         if (faults.restartsPerSecond > 0) scheduleAt(COLD_RESTART_MS, () -> restartInTurn(0));
         scheduleAt(1, this::runTimers);
         while (!events.isEmpty() && events.peek().atMs <= END_MS) {
-            Event e = events.poll();
-            now = e.atMs;
-            e.action.run();
+            Event event = events.poll();
+            now = event.atMs;
+            event.action.run();
         }
         cold.forEach(SeatServer::measureBudgetUse);
         return this;
     }
 
-    private void scheduleAt(double time, Runnable run) {
-        events.add(new Event(time, eventSequence++, run));
+    private void scheduleAt(double atMs, Runnable action) {
+        events.add(new Event(atMs, eventSequence++, action));
     }
 
-    private void scheduleAfter(double ms, Runnable run) {
-        scheduleAt(now + ms, run);
+    private void scheduleAfter(double delayMs, Runnable action) {
+        scheduleAt(now + delayMs, action);
     }
 
     private void runTimers() {
@@ -197,27 +199,27 @@
     }
 
     private void startProcess(int number) {
-        Settings s = GatewayHarness.settings(number, GATEWAYS, seed * 1000 + startedProcesses++);
+        Settings defaults = GatewayHarness.settings(number, GATEWAYS, seed * 1000 + startedProcesses++);
         String zone = "abc".substring(number % 3, number % 3 + 1);
         GatewayHarness gateway = new GatewayHarness(
                 now,
                 new Settings(
-                        s.seed(),
+                        defaults.seed(),
                         number,
                         GATEWAYS,
                         zone,
                         false,
-                        s.classes(),
-                        s.plans(),
-                        s.loadMetricNames(),
-                        s.limits(),
+                        defaults.classes(),
+                        defaults.plans(),
+                        defaults.loadMetricNames(),
+                        defaults.limits(),
                         rules,
-                        s.coordination()));
+                        defaults.coordination()));
         gateway.module.hostsUpdated(
                 now,
                 HostListKind.FULL,
                 servers.values().stream()
-                        .filter(h -> h.up)
+                        .filter(server -> server.up)
                         .map(SeatServer::toHost)
                         .toList());
         running.add(gateway);
@@ -231,16 +233,16 @@
     /** A new process in place of an old one, at once or after some time beside it. */
     private void restartProcess(int number) {
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        GatewayHarness old = gatewayProcesses.get(0);
-        if (number % 2 == 0) endProcess(number, old);
+        GatewayHarness oldProcess = gatewayProcesses.get(0);
+        if (number % 2 == 0) endProcess(number, oldProcess);
         startProcess(number);
-        if (number % 2 == 1) scheduleAfter(OVERLAP_MS, () -> endProcess(number, old));
+        if (number % 2 == 1) scheduleAfter(OVERLAP_MS, () -> endProcess(number, oldProcess));
     }
 
-    private void endProcess(int number, GatewayHarness old) {
+    private void endProcess(int number, GatewayHarness oldProcess) {
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        running.remove(old);
-        gatewayProcesses.remove(old);
+        running.remove(oldProcess);
+        gatewayProcesses.remove(oldProcess);
         gatewayProcesses.forEach(p -> p.module.processCountChanged(now, gatewayProcesses.size()));
     }
 
@@ -268,9 +270,9 @@
         List<GatewayHarness> gatewayProcesses = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
         GatewayHarness gateway = gatewayProcesses.get(random.nextInt(gatewayProcesses.size()));
         advance(gateway);
-        String cls = List.of("read", "read", "pay", "order").get(random.nextInt(4));
+        String requestClass = List.of("read", "read", "pay", "order").get(random.nextInt(4));
         gateway.module.requestReceived(
-                now, new Request("r" + requests++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
+                now, new Request("r" + requests++, now + 3000, false, requestClass, 1, "unlimited", 1, 0, 1));
         advance(gateway);
     }
 
@@ -290,17 +292,17 @@
         gateway.log.clear();
     }
 
-    private void send(GatewayHarness gateway, GatewayHarness.SentAttempt s) {
-        SeatServer to = servers.get(s.host());
-        Attempt before = lastAttempts.get(s.id());
-        Attempt attempt = new Attempt(gateway, s.id(), before == null ? 0 : before.number + 1, s.atMs());
-        lastAttempts.put(s.id(), attempt);
-        if (to.startedMs > 0) to.attemptTimes.add(now);
+    private void send(GatewayHarness gateway, GatewayHarness.SentAttempt sent) {
+        SeatServer server = servers.get(sent.host());
+        Attempt previous = lastAttempts.get(sent.id());
+        Attempt attempt = new Attempt(gateway, sent.id(), previous == null ? 0 : previous.number + 1, sent.atMs());
+        lastAttempts.put(sent.id(), attempt);
+        if (server.startedMs > 0) server.attemptTimes.add(now);
         if (attempt.number > 0) retries++;
         Outcome fault =
                 List.of(Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED).get(random.nextInt(3));
         boolean fails = random.nextDouble() < faults.failureRate;
-        scheduleAfter(2, fails ? () -> attemptEnded(attempt, fault) : () -> to.accept(attempt));
+        scheduleAfter(2, fails ? () -> attemptEnded(attempt, fault) : () -> server.accept(attempt));
         scheduleAfter(3000, () -> attemptEnded(attempt, Outcome.TIMEOUT));
     }
 
