--- a/src/test/java/deckfall/CallBudgetTest.java
+++ b/src/test/java/deckfall/CallBudgetTest.java
@@ -7,16 +7,19 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway spends on a counter that it shares, on a clock of the test's own. */
+/** Checks how the call budgets of a fleet share a counter, on a simulated clock. */
 class CallBudgetTest {
     private static final double TIMEOUT_MS = 80;
     private static final double STEP_MS = 10;
-    private static final int WANTED_CALLS_PER_S = 5; // a second, at each gateway
+    private static final int WANTED_CALLS_PER_S = 5; // at each gateway
 
     private final Random random = new Random(3);
     private double now;
 
-    /** Wishes of two worths, as many of each; how many calls each had, before a counter that bears so many a second. */
+    /**
+     * Lets the fleet want calls of two kinds, equally many of each, to a counter of this capacity; returns the number
+     * of calls made of each kind.
+     */
     private int[] simulateCalls(
             CallBudget[] fleet, double capacityPerSecond, int seconds, double lowSaving, double highSaving) {
         int[] calls = new int[2];
@@ -50,8 +53,8 @@
         simulateCalls(fleet, 100, 20, 1, 4);
         int[] calls = simulateCalls(fleet, 100, 20, 1, 4);
         double perSecond = (calls[0] + calls[1]) / 20.0;
-        assertTrue(perSecond > 60 && perSecond < 130, perSecond + " calls a second of 100 that are borne");
-        assertTrue(calls[1] > 2 * calls[0], calls[1] + " calls that save much, " + calls[0] + " that save little");
+        assertTrue(perSecond > 60 && perSecond < 130, perSecond + " calls per second at a capacity of 100");
+        assertTrue(calls[1] > 2 * calls[0], calls[1] + " calls with a high saving, " + calls[0] + " with a low saving");
     }
 
     @Test
@@ -73,6 +76,6 @@
         int[] afterRecovery = simulateCalls(fleet, 1000, 10, 1, 4);
         assertTrue(
                 afterRecovery[0] + afterRecovery[1] > 0.8 * 10 * 10 * WANTED_CALLS_PER_S,
-                afterRecovery[0] + afterRecovery[1] + " calls of 500 once it is back");
+                afterRecovery[0] + afterRecovery[1] + " calls of 500 after the recovery");
     }
 }
--- a/src/test/java/deckfall/ColdServerBudgetTest.java
+++ b/src/test/java/deckfall/ColdServerBudgetTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rule 4 for the sum of what thirty gateways send; GuardsTest has it for one gateway alone. */
+/**
+ * Checks rule 4, the limit of attempts to a cold server, for the sum over thirty gateways. RequestRulesTest checks it
+ * for a single gateway.
+ */
 class ColdServerBudgetTest {
     private static final Rules LONG_WINDOW = new Rules(8, 250, 4, 2000, 0.15, 18_000, 10_000);
     private static final Rules SHORT_WINDOW = new Rules(8, 250, 2, 1000, 0.2, 10_000, 10_000);
@@ -19,8 +22,8 @@
             assertTrue(
                     simulation.peakBudgetUse > 0 && simulation.peakBudgetUse <= 1,
                     seed + ": " + simulation.peakBudgetUse + " of the budget");
-            assertTrue(simulation.refused > 0, "no request found every place taken");
-            assertTrue(faults.failureRate() == 0 || simulation.retries > 0, "no further attempt");
+            assertTrue(simulation.refused > 0, "no request was refused for want of a free place");
+            assertTrue(faults.failureRate() == 0 || simulation.retries > 0, "no request was retried");
         }
     }
 
@@ -48,7 +51,10 @@
                 new Faults(failureRate, restartsPerSecond, allGatewaysRestart, twoProcesses));
     }
 
-    /** Further attempts draw anew, so the chances of a cold server add up where many fail or the window is short. */
+    /**
+     * Known to fail: each retry draws its candidate hosts again, so the chances of a cold server add up if many
+     * attempts fail or if the window is short.
+     */
     @Tag("known-red")
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -19,22 +19,23 @@
 import java.util.Random;
 
 /**
- * Thirty gateways and queueing servers on one clock, most of which come back cold while a burst begins: what all
- * gateways together send to each of these is held against what the rules allow.
+ * Simulates thirty gateways and queueing servers on one clock. Some of the servers stop and restart cold while a burst
+ * of requests begins. The attempts that all gateways together send to each restarted server are compared with the
+ * budget that the rules allow.
  */
 final class ColdServerSimulation {
     private static final int GATEWAYS = 30;
     private static final int SLOTS = 4;
-    private static final int QUEUE_PLACES = 4 * SLOTS; // places before the slots
-    private static final double MEAN_SERVICE_MS = 200; // the mean
-    private static final double WARM_UTILIZATION = 0.6; // of what all can do
-    private static final double BURST_FACTOR = 1.5;
-    private static final double COLD_STOP_MS = 5000; // when the cold ones leave
+    private static final int QUEUE_PLACES = 4 * SLOTS; // for requests that wait for a slot
+    private static final double MEAN_SERVICE_MS = 200; // on a warm server
+    private static final double WARM_UTILIZATION = 0.6; // of the capacity of all servers
+    private static final double BURST_FACTOR = 1.5; // times the request rate, from COLD_STOP_MS on
+    private static final double COLD_STOP_MS = 5000; // time at which the servers stop that restart cold
     private static final double COLD_RESTART_MS = 6500;
     private static final double END_MS = 14_500;
-    private static final double OVERLAP_MS = 1000; // that two processes of a gateway serve together
+    private static final double OVERLAP_MS = 1000; // time for which an old and a new process of a gateway both serve
 
-    /** What goes wrong beside the queues. */
+    /** Faults injected in addition to full queues. */
     record Faults(double failureRate, double restartsPerSecond, boolean allGatewaysRestart, boolean twoProcesses) {}
 
     private record Event(double atMs, int sequence, Runnable action) {}
@@ -59,7 +60,7 @@
         final boolean isCold;
         final ArrayDeque<Attempt> queue = new ArrayDeque<>();
         final List<Attempt> inService = new ArrayList<>();
-        final List<Double> attemptTimes = new ArrayList<>(); // once it is back
+        final List<Double> attemptTimes = new ArrayList<>(); // since its restart
         boolean up = true;
         double startedMs;
 
@@ -105,7 +106,7 @@
             });
         }
 
-        /** A window's budget is that of its first moment, when the server can do least. */
+        /** Compares attempts with budgets; a window has the budget of its start, when the capacity is least. */
         void measureBudgetUse() {
             for (int first = 0, next = 0; first < attemptTimes.size(); first++) {
                 double windowStart = attemptTimes.get(first);
@@ -127,18 +128,18 @@
     private final long seed;
     private final Faults faults;
     private final Map<String, SeatServer> servers = new LinkedHashMap<>();
-    private final List<List<GatewayHarness>> processes = new ArrayList<>(); // of each gateway, those that get requests
+    private final List<List<GatewayHarness>> processes = new ArrayList<>(); // by gateway, those that receive requests
     private final List<GatewayHarness> running = new ArrayList<>();
     private final Map<String, Attempt> lastAttempts = new HashMap<>();
     private double now;
     private int eventSequence;
     private int requests;
     private int startedProcesses;
-    double peakBudgetUse; // of the budget of N, and 2 roots of N and 2 for chance, in any window
-    double allowedAttempts; // by N over all the time
+    double peakBudgetUse; // largest share used of a window's budget N plus 2 sqrt(N) + 2 for random variation
+    double allowedAttempts; // sum of the budgets over the whole time
     int attemptsToColdServers;
-    int retries; // attempts, after a first one
-    int refused; // since the servers are back
+    int retries; // attempts after the first one of a request
+    int refused; // requests, since the servers have restarted
 
     ColdServerSimulation(long seed, Rules rules, int count, int cold, Faults faults) {
         this.seed = seed;
@@ -224,13 +225,14 @@
                         .toList());
         running.add(gateway);
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        if (!gatewayProcesses.isEmpty())
+        if (!gatewayProcesses.isEmpty()) {
             gateway.module.restoreCustomers(now, gatewayProcesses.get(0).module.snapshotCustomers(now));
+        }
         gatewayProcesses.add(gateway);
         gatewayProcesses.forEach(p -> p.module.processCountChanged(now, gatewayProcesses.size()));
     }
 
-    /** A new process in place of an old one, at once or after some time beside it. */
+    /** Replaces the old process by a new one, at once or after both have served for some time. */
     private void restartProcess(int number) {
         List<GatewayHarness> gatewayProcesses = processes.get(number);
         GatewayHarness oldProcess = gatewayProcesses.get(0);
@@ -266,7 +268,7 @@
         double perMs =
                 WARM_UTILIZATION * servers.size() * SLOTS / MEAN_SERVICE_MS * (now >= COLD_STOP_MS ? BURST_FACTOR : 1);
         scheduleAfter(-Math.log(1 - random.nextDouble()) / perMs, this::requestArrives);
-        double drawn = random.nextDouble(); // some gateways get several times the mean
+        double drawn = random.nextDouble(); // skewed below: some gateways receive several times the mean
         List<GatewayHarness> gatewayProcesses = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
         GatewayHarness gateway = gatewayProcesses.get(random.nextInt(gatewayProcesses.size()));
         advance(gateway);
@@ -276,7 +278,7 @@
         advance(gateway);
     }
 
-    /** Its timers, and then what it wants. */
+    /** Fires the gateway's timers and carries out its actions. */
     private void advance(GatewayHarness gateway) {
         gateway.runUntil(now);
         while (!gateway.sent.isEmpty() || !gateway.cancelled.isEmpty()) {
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway lets in beyond its own part, by the counter and by what the meter leaves. */
+/** Checks what a gateway admits beyond its own share, by the shared counter or by the quota that the meter leaves. */
 class CounterTest {
     private static final int GATEWAYS = 4;
     private static final Plan SLOW = new Plan("slow", 0.5, 4, 0, 1, 0, 1, 0, 0, 0);
@@ -59,7 +59,7 @@
         return gateway.counterCalls.get(gateway.counterCalls.size() - 1);
     }
 
-    /** A customer that most gateways see little of would otherwise have less than one request a part. */
+    /** Without this, a customer that is rare at most gateways would have a share of less than one request at each. */
     @Test
     void firstRequestOfASmallBurstIsAdmitted() {
         assertEquals(1, gateway.attemptCount(request()));
@@ -70,14 +70,15 @@
         requestUntilCounterCall();
         assertTrue(
                 gateway.sent.size() >= 1 && gateway.sent.size() <= 3,
-                gateway.sent.size() + " of a burst of 4 let in unasked");
+                gateway.sent.size() + " of a burst of 4 admitted without a call");
         assertEquals(List.of(), gateway.refused);
     }
 
     @Test
     void pendingRequestIsAdmittedWhenTheCounterShowsRoom() {
         GatewayHarness.CounterCall call = requestUntilCounterCall();
-        gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, call.amount()); // nobody else used any
+        gateway.module.counterCallEnded(
+                gateway.now, call.counter(), Outcome.OK, call.amount()); // no other gateway used any units
         assertEquals(1, gateway.attemptCount("q" + (requests - 1)));
     }
 
@@ -88,7 +89,7 @@
         assertEquals(List.of("q" + (requests - 1)), gateway.refused);
         assertEquals(List.of(Refusal.QUOTA), gateway.refusals);
         request();
-        assertEquals(2, gateway.refused.size()); // known to be empty: not asked again
+        assertEquals(2, gateway.refused.size()); // the quota is known to be used up, so no second call is made
         assertEquals(1, gateway.counterCalls.size());
         gateway.advance(1000);
         assertEquals(-1, gateway.counterCalls.get(1).amount());
@@ -114,12 +115,12 @@
             List.copyOf(gateway.counterCalls)
                     .forEach(c -> gateway.module.counterCallEnded(gateway.now, c.counter(), Outcome.TIMEOUT, 0));
             gateway.counterCalls.clear();
-            assertEquals(requests, gateway.sent.size() + gateway.refused.size()); // nothing is held for it
+            assertEquals(requests, gateway.sent.size() + gateway.refused.size()); // no request waits for the counter
         }
         assertTrue(calls[0] > calls[1] && calls[1] <= 10, calls[0] + " calls in 10 s, then " + calls[1]);
     }
 
-    /** A flood of customers that come once must not be called for, nor kept, long after they have gone. */
+    /** Customers that send a single request must be evicted, and must cause no calls long afterwards. */
     @Test
     void evictedCustomersCauseNoCalls() {
         for (int i = 0; i < 200; i++) {
@@ -128,10 +129,11 @@
             gateway.endAttempt(id, 0, Outcome.OK, 10);
         }
         assertTrue(rejectedCalls(20) > 0);
-        rejectedCalls(60); // forgotten after a minute, at the next sweep
+        rejectedCalls(60); // evicted after a minute, at the next sweep
         assertEquals(0, rejectedCalls(400));
     }
 
+    /** Rejects all calls to the counter for some seconds and returns their number. */
     private int rejectedCalls(int seconds) {
         int calls = 0;
         for (int i = 0; i < seconds * 10; i++) {
@@ -144,7 +146,10 @@
         return calls;
     }
 
-    /** Before any figure others are taken to use as much as is usual; by a figure of none the store is free. */
+    /**
+     * Until the first meter reading the other gateways are assumed to use the usual share of the quota; a reading of no
+     * use shows that the quota is free.
+     */
     @Test
     void quotaLeftByTheMeterIsAdmittedWithoutACounter() {
         gateway = newGateway(false);
@@ -157,12 +162,12 @@
             }
         }
         int sentBefore = gateway.sent.size();
-        gateway.advance(2500); // one unit in the store, a quarter of one in an even part
+        gateway.advance(2500); // refills one unit of the quota, and a quarter of a unit of an even share
         request();
         assertEquals(sentBefore + 1, gateway.sent.size());
     }
 
-    /** Two processes that serve as one gateway let in together what one would. */
+    /** Two processes that serve as one gateway admit together what one process would. */
     @Test
     void secondProcessContinuesFromTheStateOfTheFirst() {
         gateway = newGateway(false);
@@ -174,16 +179,19 @@
         second.request("r", "read", "slow", 42, 1, GATEWAYS);
         assertEquals(List.of("r"), second.refused);
         second.request("s", "read", "slow", 43, 1, GATEWAYS);
-        assertEquals(1, second.attemptCount("s")); // of whom the first one knows nothing
+        assertEquals(1, second.attemptCount("s")); // a customer that the first process has not seen
     }
 
     @Test
     void processesSplitTheShareOfTheirGatewayWhileTheyRun() {
         int alone = admittedByOneOf(1);
         int shared = admittedByOneOf(2);
-        assertTrue(shared < alone && 2 * shared <= alone + 2, "two let in " + shared + " each, one alone " + alone);
+        assertTrue(
+                shared < alone && 2 * shared <= alone + 2,
+                "two processes admitted " + shared + " each, a single one " + alone);
     }
 
+    /** The requests that one process admits while so many serve as its gateway. */
     private int admittedByOneOf(int processes) {
         gateway = newGateway(false);
         while (gateway.refused.isEmpty()) {
@@ -203,7 +211,10 @@
         return gateway.sent.size() - sentBefore;
     }
 
-    /** Nothing tells there what the others of the set hold: all would take the same units to be free. */
+    /**
+     * Without a meter nothing shows what the other gateways of the set have left, so all of them would assume that the
+     * same units are free.
+     */
     @Test
     void withoutAMeterOnlyPlansWithLowExcessCostAreAdmittedOnAnEstimate() {
         Settings defaults = GatewayHarness.settings(0, GATEWAYS);
@@ -224,11 +235,11 @@
                                 new Coordination(true, 0, 80, 0, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
         requestUntilCounterCall();
-        assertEquals(1, gateway.sent.size()); // its part of the burst, and no more unasked
+        assertEquals(1, gateway.sent.size()); // its share of the burst, and no more without a call
         gateway.counterCalls.clear();
         while (gateway.counterCalls.isEmpty()) {
             gateway.request("c" + requests++, "read", "cheap", 43, 1, GATEWAYS);
         }
-        assertTrue(gateway.sent.size() > 2, gateway.sent.size() + " let in, two of them by the even parts");
+        assertTrue(gateway.sent.size() > 2, gateway.sent.size() + " admitted, two of them by the even shares");
     }
 }
--- a/src/test/java/deckfall/GatewayHarness.java
+++ b/src/test/java/deckfall/GatewayHarness.java
@@ -21,7 +21,9 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** A clock and a notebook: plays events into one Brain and keeps what it does. */
+/**
+ * Runs one {@link DecisionModule} on a simulated clock: feeds it events, fires its timers and records its actions.
+ */
 final class GatewayHarness implements Actions {
     static final RequestClass READ =
             new RequestClass("read", Effect.REPEATABLE, KeyScope.ALL, 0, 1000, 3000, 1, 0, false);
@@ -43,13 +45,13 @@
 
     final List<SentAttempt> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
-    final List<Refusal> refusals = new ArrayList<>();
+    final List<Refusal> refusals = new ArrayList<>(); // the reasons, in the order of the refused requests
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
     final List<SentMessage> messages = new ArrayList<>();
     final List<CounterCall> counterCalls = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
+    final List<String> log = new ArrayList<>(); // all actions but timers, as lines "time action arguments"
     final DecisionModule module = new DecisionModule(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::atMs).thenComparingInt(Timer::sequence));
@@ -80,6 +82,7 @@
                 new Coordination(false, 0, 80, 0, false, 4, 60, 0.01, 0.01, 0.01));
     }
 
+    /** The only gateway of its deployment. */
     static GatewayHarness singleGateway() {
         return new GatewayHarness(1000, settings(0, 1));
     }
@@ -101,6 +104,7 @@
         module.requestReceived(now, new Request(id, now + 3000, false, requestClass, customer, plan, units, 0, spread));
     }
 
+    /** A request of one unit in the unlimited plan. */
     void request(String id, String requestClass) {
         request(id, requestClass, "free", 1, 1, 1);
     }
@@ -112,6 +116,7 @@
                         id, attempt, hostOf(id), outcome, latencyMs, outcome == Outcome.OK, 0, 0, new double[0]));
     }
 
+    /** The host of the request's latest attempt. */
     String hostOf(String id) {
         return sent.stream()
                 .filter(s -> s.id().equals(id))
@@ -124,11 +129,13 @@
         return sent.stream().filter(s -> s.id().equals(id)).count();
     }
 
+    /** How often the request was refused or failed. */
     long rejectionCount(String id) {
         return refused.stream().filter(id::equals).count()
                 + failed.stream().filter(id::equals).count();
     }
 
+    /** Fires the timers that are due until then, and sets the clock. */
     void runUntil(double endMs) {
         while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
             Timer timer = timers.poll();
@@ -181,17 +188,17 @@
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
         messages.add(new SentMessage(peer, data));
-        log.add(now + " tell " + peer + " " + data.length);
+        log.add(now + " send peer message " + peer + " " + data.length);
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
         counterCalls.add(new CounterCall(counter, amount));
-        log.add(now + " count " + counter);
+        log.add(now + " add to counter " + counter);
     }
 
     @Override
     public void subscribeHosts() {
-        log.add(now + " watch");
+        log.add(now + " subscribe hosts");
     }
 }
--- a/src/test/java/deckfall/MeterTest.java
+++ b/src/test/java/deckfall/MeterTest.java
@@ -16,16 +16,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Parts where gateways learn of each other by the meter alone, which tells late what all of them used. */
+/**
+ * Checks the shares of gateways that have only the meter in common, which reports the use of all of them with a delay.
+ */
 class MeterTest {
     private static final int GATEWAYS = 4;
     private static final double STEP_MS = 10;
     private static final double PERIOD_MS = 1000;
-    private static final double METER_DELAY_MS = 800;
+    private static final double METER_DELAY_MS = 800; // from the end of a period to its reading
     private static final Plan WIDE = new Plan("wide", 20, 20, 0, 1, 0, 1, 0, 0, 0);
 
     private final List<GatewayHarness> gateways = new ArrayList<>();
-    private final TreeMap<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by number of the metered period
+    private final TreeMap<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by the period's number
     private final Set<String> ended = new HashSet<>();
     private int requests;
 
@@ -59,7 +61,7 @@
         gateways.get(gateway).request("q" + requests++, "read", plan.name(), 42, 1, GATEWAYS);
     }
 
-    /** Lets a step pass: what was sent in it is metered, and answered with the last total that is known. */
+    /** Advances by one step, meters the attempts sent in it and ends them with the last known meter reading. */
     private void advanceOneStep() {
         int lastKnownPeriod = (int) Math.floor((now() - METER_DELAY_MS) / PERIOD_MS) - 1;
         int meterReading = lastKnownPeriod < 0
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Units sent on in so many seconds while each named gateway is asked for as much as the whole quota. */
+    /** Units sent in some seconds while each of these gateways receives requests at the rate of the whole quota. */
     private int sentUnderLoad(int seconds, int... loadedGateways) {
         int endedBefore = ended.size();
         double perStep = WIDE.rate() * STEP_MS / 1000;
@@ -102,12 +104,15 @@
         return ended.size() - endedBefore;
     }
 
-    /** All gateways of a set raise their parts on the same word, and each answer repeats that word. */
+    /**
+     * All gateways of a set raise their shares on the same meter reading, which each response repeats. Each reading may
+     * count once only.
+     */
     @Test
     void sharesRaisedByTheMeterSumToAboutTheQuota() {
-        sentUnderLoad(5, 0, 1, 2, 3); // the burst is gone, and the parts have settled
+        sentUnderLoad(5, 0, 1, 2, 3); // uses up the burst and lets the shares settle
         double sentShare = sentUnderLoad(30, 0, 1, 2, 3) / (30 * WIDE.rate());
-        assertTrue(sentShare >= 0.9 && sentShare <= 1.1, "sent on " + sentShare + " of the quota");
+        assertTrue(sentShare >= 0.9 && sentShare <= 1.1, "sent " + sentShare + " of the quota");
     }
 
     @Test
@@ -115,10 +120,10 @@
         sentUnderLoad(6, 0);
         sentUnderLoad(4, 2);
         double sentShare = sentUnderLoad(10, 2) / (10 * WIDE.rate());
-        assertTrue(sentShare >= 0.85 && sentShare <= 1.1, "sent on " + sentShare + " of the quota");
+        assertTrue(sentShare >= 0.85 && sentShare <= 1.1, "sent " + sentShare + " of the quota");
     }
 
-    /** A client that comes back when it was told to must find what it was told of. */
+    /** A client that retries after the advised time must find that the units have been refilled. */
     @Test
     void retryAfterOfARefusalCoversTheRefillOfTheOwnBucket() {
         GatewayHarness gateway = gateways.get(0);
--- a/src/test/java/deckfall/QuotaSharingTest.java
+++ b/src/test/java/deckfall/QuotaSharingTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Admission by parts, tells between gateways, and giving of ceiling units. */
+/** Checks admission by shares of a quota, peer messages between gateways, and the giving of cap units. */
 class QuotaSharingTest {
     private final List<GatewayHarness> gateways = new ArrayList<>();
     private int sequence;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Carries tells with a beat's delay and answers what was sent. */
+    /** Delivers peer messages with the delay of a timer tick and ends the attempts that were sent. */
     private void advance(double ms) {
         for (double end = gateways.get(0).now + ms; gateways.get(0).now < end; ) {
             for (GatewayHarness gateway : gateways) {
@@ -65,7 +65,7 @@
         gateways.get(gateway).request("q" + sequence++ + ":" + units, "read", plan, 42, units, gateways.size());
     }
 
-    /** Units let in over so many seconds of five times the small quota, asked at the given gateways. */
+    /** Units admitted in some seconds while each of these gateways receives five times the small quota. */
     private double admittedUnderLoad(int seconds, int... loadedGateways) {
         double admittedBefore = admittedUnits;
         for (int i = 0; i < seconds * 10; i++) {
@@ -86,7 +86,7 @@
         startGateways(3);
         advance(500);
         double units = admittedUnderLoad(10, 1);
-        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "let in " + units);
+        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "admitted " + units);
     }
 
     @Test
@@ -94,7 +94,7 @@
         startGateways(3);
         advance(500);
         double units = admittedUnderLoad(10, 0, 1, 2);
-        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "let in " + units);
+        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "admitted " + units);
     }
 
     @Test
@@ -104,7 +104,7 @@
         startGateways(3);
         advance(500);
         double units = admittedUnderLoad(10, 0, 1, 2);
-        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "let in " + units);
+        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "admitted " + units);
     }
 
     @Test
@@ -112,20 +112,21 @@
         startGateways(4);
         advance(500);
         request(0, "small", 4);
-        request(0, "small", 4); // eight units: the even part of the burst is three
+        request(0, "small", 4); // eight units, while the even share of the burst is three
         advance(300);
         assertEquals(8, admittedUnits);
     }
 
     @Test
     void wideSetSharesOneQuotaThatFollowsTheTraffic() {
-        // glasopis-prod-later big-1: 45% were refused with half of the quota unused, 20% sent on beyond quotas
+        // Run glasopis-prod-later big-1: 45% of the requests were refused while half of the quota was unused, and 20%
+        // were sent beyond the quotas.
         startGateways(200);
         advance(100);
         double beforeTheMove = admittedUnderLoad(6, 3, 50, 51, 99, 140, 199);
-        assertTrue(beforeTheMove >= 0.85 * (12 + 24) && beforeTheMove <= 1.1 * (12 + 24), "let in " + beforeTheMove);
-        double afterTheMove = admittedUnderLoad(6, 7, 120); // at one stroke to two others
-        assertTrue(afterTheMove >= 0.85 * 24 && afterTheMove <= 1.1 * 24, "let in after the move " + afterTheMove);
+        assertTrue(beforeTheMove >= 0.85 * (12 + 24) && beforeTheMove <= 1.1 * (12 + 24), "admitted " + beforeTheMove);
+        double afterTheMove = admittedUnderLoad(6, 7, 120); // all requests move to two other gateways at once
+        assertTrue(afterTheMove >= 0.85 * 24 && afterTheMove <= 1.1 * 24, "admitted after the move " + afterTheMove);
     }
 
     @Test
@@ -139,7 +140,7 @@
         double afterTheRestart = admittedUnderLoad(4, 5, 6, 7);
         assertTrue(
                 afterTheRestart >= 0.5 * 16 && afterTheRestart <= 16 + 6,
-                "let in after the restart " + afterTheRestart);
+                "admitted after the restart " + afterTheRestart);
     }
 
     @Test
@@ -193,13 +194,13 @@
         dropsAllMessages = true;
         advance(4000);
         double units = admittedUnderLoad(20, member);
-        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "let in " + units);
+        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "admitted " + units);
         dropsAllMessages = false;
         advance(6000);
         double afterRecovery = admittedUnderLoad(10, member);
         assertTrue(
                 afterRecovery >= 0.85 * (12 + 40) && afterRecovery <= 1.1 * (12 + 40),
-                "let in when healed " + afterRecovery);
+                "admitted after the recovery " + afterRecovery);
     }
 
     @Test
@@ -245,8 +246,8 @@
             request(0, "capped", 2);
             advance(100);
         }
-        assertTrue(admittedUnits > 0.4 * 20 * 10, "the even quarter alone: " + admittedUnits);
-        assertTrue(admittedUnits <= 40 + 20 * 10, "passed the ceiling: " + admittedUnits);
+        assertTrue(admittedUnits > 0.4 * 20 * 10, "no more than the even quarter: " + admittedUnits);
+        assertTrue(admittedUnits <= 40 + 20 * 10, "above the cap: " + admittedUnits);
     }
 
     @Test
@@ -274,7 +275,10 @@
         assertEquals(List.of("o3", "o4"), gateway.refused);
     }
 
-    /** A life's number is cut from Unix time and runs over; a peer that starts after that is still the later one. */
+    /**
+     * An epoch is Unix time truncated to the width of its field. The epoch of a peer that starts after the field has
+     * wrapped around still counts as the later one.
+     */
     @Test
     void restartedPeerIsAcceptedAfterItsEpochWrapsAround() {
         GatewayHarness gateway = new GatewayHarness(1000, GatewayHarness.settings(0, 2)).withHosts("a1");
@@ -285,7 +289,7 @@
             gateway.module.peerMessageReceived(
                     gateway.now, 1, new PeerMessage(epoch, 0, 1, 0, List.of(entry)).encode());
             gateway.advance(200);
-            assertTrue(gateway.messages.size() > messagesBefore, "no answer to life " + epoch);
+            assertTrue(gateway.messages.size() > messagesBefore, "no answer in epoch " + epoch);
         }
     }
 }
