--- a/src/test/java/deckfall/DecisionModuleTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -23,7 +23,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Release, weights, host health, determinism and the layout of the policy files. */
+/** Checks the release of requests, class weights, host health, determinism and the layout of the policy files. */
 class DecisionModuleTest {
     private static final int MAX_LINE_WIDTH = 120; // the formatter's
 
@@ -43,7 +43,7 @@
         assertTrue(DecisionModule.donateWeight(List.of(slow, fast, idle)));
         assertEquals(1, slow.weight + fast.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && fast.weight < 0.4 && idle.weight < 0.3);
-        assertTrue(0.4 - fast.weight > 0.3 - idle.weight, "gives by surplus");
+        assertTrue(0.4 - fast.weight > 0.3 - idle.weight, "donates in proportion to the surplus");
     }
 
     @Test
@@ -71,7 +71,7 @@
     void implausibleSlopeIsDiscarded() {
         ClassState classState = state(GatewayHarness.READ, 0.5, 800, 1234);
         classState.previousWeight = 0.4;
-        classState.previousDelay = 700; // more weight, more delay: the wrong sign
+        classState.previousDelay = 700; // more weight and more delay: a slope with the wrong sign
         classState.measureSlope(DecisionModule.delayGoalMs(classState) * 0.1);
         assertEquals(1234, classState.delaySlope);
         classState.weight = 0.6;
@@ -82,7 +82,7 @@
 
     @Test
     void attemptsInFlightAreBoundedAndOtherRequestsAreHeldOrRefused() {
-        // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
+        // Incident ia17a29: without a bound, hosts were overloaded within seconds and stayed slow.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
             gateway.request("r" + i, "read");
@@ -132,7 +132,7 @@
         gateway.request("p", "pay");
         String silentHost = gateway.hostOf("r");
         gateway.advance(700);
-        assertEquals(List.of("r"), gateway.cancelled); // what must not run twice is left to run
+        assertEquals(List.of("r"), gateway.cancelled); // the attempt that must not be repeated continues
         gateway.endAttempt("r", 0, Outcome.CANCELLED, 700);
         assertNotEquals(silentHost, gateway.hostOf("r"));
         assertEquals(1, gateway.attemptCount("p"));
@@ -140,7 +140,7 @@
 
     @Test
     void manyGatewaysSpreadTheirRequestsOverTheHosts() {
-        // each knows next to nothing of the hosts: the best by own counts would be the same for all
+        // A gateway has little information on the hosts, and the best host by its own counts would be the same for all.
         String[] hosts = IntStream.range(0, 60)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
                 .toArray(String[]::new);
@@ -163,7 +163,7 @@
 
     @Test
     void hundredsOfGatewaysDoNotOverloadAHostThatJustStarted() {
-        // one free send a gateway would be hundreds at once (rule 4)
+        // Rule 4: if each gateway could send one attempt freely, the host would get hundreds at once.
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             hosts.add(new Host("a" + i, "a", "std", 0, HostState.RUNNING, 1, i == 7 ? 1000 : 0));
@@ -181,13 +181,15 @@
             coldAttempts += (int)
                     gateway.sent.stream().filter(s -> s.host().equals("a7")).count();
         }
-        // a fifth of what the others get, times the multiple of two, is the most
+        // At most a fifth of what each other host gets, times the multiple of two.
         assertTrue(coldAttempts < 0.4 * totalAttempts / 60, coldAttempts + " of " + totalAttempts);
     }
 
     @Test
     void hostThatFailsOneClassStillServesTheOthers() {
-        // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
+        // Run port-louis-archi-later, overload 0.28: hosts that did not answer one class counted as slow for all
+        // classes,
+        // and still received that class.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         int failingAttempts = 0;
         int otherAttempts = 0;
@@ -201,13 +203,15 @@
             gateway.advance(20);
             gateway.endAttempt(id, 0, fails ? Outcome.ERROR : Outcome.OK, 20);
         }
-        assertTrue(failingAttempts < 5, "failing class sent on " + failingAttempts);
-        assertTrue(otherAttempts > 15, "other class kept away, " + otherAttempts);
+        assertTrue(failingAttempts < 5, "attempts of the failing class: " + failingAttempts);
+        assertTrue(otherAttempts > 15, "attempts of the other class: " + otherAttempts);
     }
 
     @Test
     void hundredsOfGatewaysSpreadTheirConnectionsEvenly() {
-        // i2e3387: every gateway met every host, and tables full of idle connections refused new ones
+        // Incident i2e3387: every gateway connected to every host, and connection tables full of idle connections
+        // refused
+        // new ones.
         String[] hosts = IntStream.range(0, 65)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
                 .toArray(String[]::new);
@@ -233,7 +237,8 @@
 
     @Test
     void hostThatRefusesAConnectionIsAvoidedAtOnce() {
-        // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
+        // Incident i412b8a: a gateway without a connection to hosts with full connection tables tried them again and
+        // again.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         gateway.request("r", "read");
         String refusingHost = gateway.hostOf("r");
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The five rules, each on one gateway alone. */
+/** Checks the five rules on requests, each on a single gateway. */
 class RequestRulesTest {
     @Test
     void requestWithoutHostsIsHeldAndRefusedBeforeItsDeadline() {
@@ -29,7 +29,7 @@
 
     @Test
     void requestWithNoTimeLeftIsAnsweredAtOnce() {
-        // port-louis rules-3: a late retry was held until the next beat, after its deadline
+        // Run port-louis rules-3: a late retry was held until the next timer tick, which was after its deadline.
         GatewayHarness gateway = GatewayHarness.singleGateway();
         gateway.module.requestReceived(
                 gateway.now, new Request("r", gateway.now + 5, false, "read", 1, "free", 1, 0, 1));
@@ -133,11 +133,13 @@
                 .skip(sentBefore)
                 .filter(s -> s.host().equals("c1"))
                 .count();
-        // 50 requests a second, half of them for each warm host: cold 0.2 x multiple 2 = 10 for all gateways
+        // 50 requests are sent in a second, half of them to each warm host. The cold host may get 0.2 x 2 of 25, which
+        // is
+        // 10, from all gateways together.
         assertTrue(coldAttempts >= 1 && coldAttempts < 10, "cold host got " + coldAttempts);
     }
 
-    /** One request each 20 ms, answered after 160 ms, so that eight are out at a time. */
+    /** Sends one request each 20 ms, answered after 160 ms, so that eight are in flight at a time. */
     private static void sendSteadyLoad(GatewayHarness gateway, int i) {
         gateway.request("w" + i, "read");
         gateway.advance(20);
@@ -148,8 +150,8 @@
 
     @Test
     void capIsSharedEvenlyAndARestartGrantsNoBurst() {
-        int primaryOwner =
-                DecisionState.rankGateways(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
+        // The primary owner holds half of the cap, and half of the rest.
+        int primaryOwner = DecisionState.rankGateways(9, 0, 2, 2, 2)[0];
         double admitted = 0;
         for (int start = 0; start < 4; start++) {
             GatewayHarness gateway = new GatewayHarness(1000 + start * 500, GatewayHarness.settings(primaryOwner, 2))
@@ -160,8 +162,8 @@
             }
             admitted += gateway.sent.size();
         }
-        // three quarters of 20 a second over 2 s, however often it restarted
-        assertTrue(admitted > 10 && admitted <= 30, "spent " + admitted);
+        // Three quarters of 20 units per second over 2 s, regardless of the number of restarts.
+        assertTrue(admitted > 10 && admitted <= 30, "admitted " + admitted);
     }
 
     @Test
@@ -181,7 +183,7 @@
         assertTrue(gateway.failed.isEmpty() && gateway.refused.isEmpty() && gateway.sent.size() == 1);
     }
 
-    /** A further attempt may wait for its connection; it is to reach its host within the key's window all the same. */
+    /** A retry may have to wait for a new connection, and must still reach its host within the key window. */
     @Test
     void retryOfAKeyedRequestLeavesTimeToConnectWithinItsWindow() {
         for (double elapsedMs : new double[] {550, 650}) {
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -11,21 +11,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway of a wide set asks a counter that bears fewer calls than there are requests. */
+/** Checks the calls of a gateway of a wide set to a counter that cannot take a call for each request. */
 class ScarceCounterTest {
     private static final int GATEWAYS = 60;
     private static final long CUSTOMER = 42;
     private static final double BURST_UNITS = 4;
-    private static final long WINDOW_MS = 60_000; // of a count
-    private static final double UNITS_BEYOND_ANY_QUOTA =
-            2 * (BURST_UNITS + WINDOW_MS / 1000.0); // no store holds anything then
+    private static final long WINDOW_MS = 60_000; // that one counter name covers
+    /** Use that leaves nothing of the quota. */
+    private static final double UNITS_BEYOND_ANY_QUOTA = 2 * (BURST_UNITS + WINDOW_MS / 1000.0);
+
     private static final double UNITS_PER_S = 1;
-    private static final double ANSWER_VALID_MS = 2 * 1000 * BURST_UNITS; // for which an answer tells of the store
+    private static final double ANSWER_VALID_MS =
+            2 * 1000 * BURST_UNITS; // for which a reply is evidence of the quota level
 
     private GatewayHarness gateway;
     private int requests;
 
-    /** Excess costs a share of its worth, so that it pays to let in more or fewer on a guess. */
+    /** Excess costs this share of its worth, which decides how many requests it pays to admit on an estimate. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
         Settings defaults = GatewayHarness.settings(0, GATEWAYS);
@@ -50,7 +52,7 @@
         gateway.request("q" + requests++, "read", "small", customer, 1, GATEWAYS);
     }
 
-    /** Requests of one customer until one of them is called for. */
+    /** Sends requests of one customer until one of them causes a call to the counter. */
     private GatewayHarness.CounterCall requestUntilCallFor(long customer) {
         for (int i = 0; i < 1000; i++) {
             request(customer);
@@ -80,7 +82,7 @@
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
-    /** What the customer may have used since the count's window began. */
+    /** The units that the customer may have used since the window of the counter name began. */
     private double allowedUnits(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
@@ -102,7 +104,10 @@
         assertTrue(gateway.refused.size() - refusedBefore >= ANSWER_VALID_MS / 500 - 3);
     }
 
-    /** What the call took for a request that was then refused, and for those that it stands for, is given back. */
+    /**
+     * The units that a call added for a request that is then refused, and for the admitted requests that the call was
+     * sampled from, are subtracted again.
+     */
     @Test
     void unitsOfARefusedCallAreReturned() {
         start(0.5);
@@ -116,7 +121,7 @@
         assertEquals(-call.amount(), returnedUnits, 1e-9, gateway.counterCalls.toString());
     }
 
-    /** Many customers ask at once, so that not every request can be called for. */
+    /** Sends requests of many customers at once, so that only a sample of them can cause calls; returns such a call. */
     private GatewayHarness.CounterCall requestUntilSampledCall() {
         for (int i = 0; i < 2000; i++) {
             request(1000 + i);
@@ -130,10 +135,10 @@
             }
             gateway.advance(2);
         }
-        throw new AssertionError("each request was called for");
+        throw new AssertionError("each request caused a call");
     }
 
-    /** Units that wait to be given back are told. */
+    /** Lets the gateway report the units that it returns, and answers those calls. */
     private void answerCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -17,27 +17,27 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Customers whose requests come in through so many gateways that each of them sees one now and then. */
+/** Checks customers whose requests arrive at so many gateways that each gateway receives few of them. */
 class WideSetTest {
     private static final int GATEWAYS = 60;
     private static final double STEP_MS = 10;
     private static final double PERIOD_MS = 1000;
-    private static final double METER_DELAY_MS = 800;
+    private static final double METER_DELAY_MS = 800; // from the end of a period to its reading
     private static final int RUN_SECONDS = 40;
     private static final Plan LARGE = new Plan("large", 12, 24, 0, 2, 0, 1, 0, 0, 0);
     private static final Plan SMALL = new Plan("small", 1, 4, 0, 1, 0, 1, 0, 0, 0);
 
     private final List<GatewayHarness> gateways = new ArrayList<>();
-    private final Map<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by number of the metered period
+    private final Map<Integer, Integer> unitsByPeriod = new TreeMap<>(); // by the period's number
     private final Map<String, Double> counterTotals = new TreeMap<>();
     private final Set<String> ended = new HashSet<>();
     private final Random random = new Random(5);
     private int requests;
     private int calls;
-    private boolean counterAnswers;
+    private boolean counterAnswers; // or all calls to it time out
 
-    private void startGateways(boolean hasCounter) {
-        counterAnswers = hasCounter;
+    private void startGateways(boolean answers) {
+        counterAnswers = answers;
         for (int i = 0; i < GATEWAYS; i++) {
             Settings defaults = GatewayHarness.settings(i, GATEWAYS, i);
             gateways.add(new GatewayHarness(
@@ -58,7 +58,7 @@
         }
     }
 
-    /** One customer that asks for so many times its rate; how much was sent, in times of what the rate gives. */
+    /** Sends requests of one customer at a multiple of its rate; returns the units sent, as a multiple of its quota. */
     private double sentInTimesOfQuota(Plan plan, double demand) {
         double due = 0;
         for (double now = 0; now < RUN_SECONDS * 1000; now += STEP_MS) {
@@ -117,7 +117,7 @@
         assertTrue(sent > 0.8 && sent < 1.45, sent + " times the quota sent");
     }
 
-    /** What was gone of the burst stays gone as time goes on. */
+    /** The used part of a burst stays used when the next window begins. */
     @Test
     void newCounterWindowGrantsNoSecondBurst() {
         startGateways(true);
--- a/src/test/java/deckfall/wire/WireHostTest.java
+++ b/src/test/java/deckfall/wire/WireHostTest.java
@@ -10,7 +10,7 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on literal lines. */
+/** Checks the simulator adapter on literal lines of the protocol. */
 class WireHostTest {
     private static final String ATTACH = "ATTACH rng_seed=5 az=a balancers=1 classes.count=1 classes.0.effect=once "
             + "classes.0.goal_time_ms=1000.0 classes.0.hard_limit_ms=3000.0 classes.0.name=pay ordinal=0 "
