--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -15,7 +15,7 @@
  * </ul>
  */
 public final class Main {
-    private static final int EXIT_USAGE = 2; // exit status for a usage error
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
--- a/src/test/java/deckfall/MeterTest.java
+++ b/src/test/java/deckfall/MeterTest.java
@@ -130,12 +130,12 @@
         while (gateway.refused.isEmpty()) {
             request(0, WIDE);
         }
-        String[] words = gateway.log.get(gateway.log.size() - 1).split(" ");
-        assertTrue(words[1].equals("refuse") && Double.parseDouble(words[3]) > 0, String.join(" ", words));
+        String[] logFields = gateway.log.get(gateway.log.size() - 1).split(" ");
+        assertTrue(logFields[1].equals("refuse") && Double.parseDouble(logFields[3]) > 0, String.join(" ", logFields));
         gateway.sent.forEach(attempt -> gateway.endAttempt(attempt.id(), 0, Outcome.OK, STEP_MS));
         int sentBefore = gateway.sent.size();
-        gateway.advance(Double.parseDouble(words[3]));
+        gateway.advance(Double.parseDouble(logFields[3]));
         request(0, WIDE);
-        assertTrue(gateway.sent.size() > sentBefore, "refused again after " + words[3] + " ms");
+        assertTrue(gateway.sent.size() > sentBefore, "refused again after " + logFields[3] + " ms");
     }
 }
