--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -19,22 +19,23 @@
 import java.util.Random;
 
 /**
- * Thirty gateways and queueing servers on one clock, most of which come back cold while a burst begins: what all
- * gateways together send to each of these is held against what the rules allow.
+ * Simulates thirty gateways and queueing servers on one clock. Some of the servers stop and restart cold while a burst
+ * of requests begins. The attempts that all gateways together send to each restarted server are compared with the
+ * budget that the rules allow.
  */
 final class ColdServerSimulation {
     private static final int GATEWAYS = 30;
     private static final int SLOTS = 4;
-    private static final int QUEUE_PLACES = 4 * SLOTS; // places before the slots
-    private static final double MEAN_SERVICE_MS = 200; // the mean
-    private static final double WARM_UTILIZATION = 0.6; // of what all can do
-    private static final double BURST_FACTOR = 1.5;
-    private static final double COLD_STOP_MS = 5000; // when the cold ones leave
+    private static final int QUEUE_PLACES = 4 * SLOTS; // for requests that wait for a slot
+    private static final double MEAN_SERVICE_MS = 200; // on a warm server
+    private static final double WARM_UTILIZATION = 0.6; // of the capacity of all servers
+    private static final double BURST_FACTOR = 1.5; // times the request rate, from COLD_STOP_MS on
+    private static final double COLD_STOP_MS = 5000; // time at which the servers stop that restart cold
     private static final double COLD_RESTART_MS = 6500;
     private static final double END_MS = 14_500;
-    private static final double OVERLAP_MS = 1000; // that two processes of a gateway serve together
+    private static final double OVERLAP_MS = 1000; // time for which an old and a new process of a gateway both serve
 
-    /** What goes wrong beside the queues. */
+    /** Faults injected in addition to full queues. */
     record Faults(double failureRate, double restartsPerSecond, boolean allGatewaysRestart, boolean twoProcesses) {}
 
     private record Event(double atMs, int sequence, Runnable action) {}
@@ -59,31 +60,31 @@
         final boolean isCold;
         final ArrayDeque<Attempt> queue = new ArrayDeque<>();
         final List<Attempt> inService = new ArrayList<>();
-        final List<Double> attemptTimes = new ArrayList<>(); // once it is back
+        final List<Double> attemptTimes = new ArrayList<>(); // since its restart
         boolean up = true;
         double startedMs;
 
-        SeatServer(int number, boolean returns) {
+        SeatServer(int number, boolean isCold) {
             id = "abc".charAt(number % 3) + "-" + Long.toHexString(random.nextLong());
-            this.isCold = returns;
+            this.isCold = isCold;
         }
 
         Host toHost() {
             return new Host(id, id.substring(0, 1), "std", 0, up ? HostState.RUNNING : HostState.GONE, 1, startedMs);
         }
 
-        double capacityShare(double at) {
-            double done = startedMs > 0 ? (at - startedMs) / rules.warmWithinMs() : 1;
-            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * done);
+        double capacityShare(double atMs) {
+            double progress = startedMs > 0 ? (atMs - startedMs) / rules.warmWithinMs() : 1;
+            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * progress);
         }
 
         void stop() {
             up = false;
-            List<Attempt> held = new ArrayList<>(inService);
-            held.addAll(queue);
+            List<Attempt> lost = new ArrayList<>(inService);
+            lost.addAll(queue);
             inService.clear();
             queue.clear();
-            held.forEach(attempt -> attemptEnded(attempt, Outcome.RESET));
+            lost.forEach(attempt -> attemptEnded(attempt, Outcome.RESET));
         }
 
         void accept(Attempt attempt) {
@@ -105,16 +106,17 @@
             });
         }
 
-        /** A window's budget is that of its first moment, when the server can do least. */
+        /** Compares attempts with budgets; a window has the budget of its start, when the capacity is least. */
         void measureBudgetUse() {
             for (int first = 0, next = 0; first < attemptTimes.size(); first++) {
-                double from = attemptTimes.get(first);
-                while (next < attemptTimes.size() && attemptTimes.get(next) < from + rules.fallMs()) next++;
-                double n = rules.fallMultiple() * capacityShare(from) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
-                peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (n + 2 * Math.sqrt(n) + 2));
+                double windowStart = attemptTimes.get(first);
+                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.fallMs()) next++;
+                double budget =
+                        rules.fallMultiple() * capacityShare(windowStart) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
+                peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (budget + 2 * Math.sqrt(budget) + 2));
             }
-            double mean = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
-            allowedAttempts += rules.fallMultiple() * mean * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
+            double meanShare = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
+            allowedAttempts += rules.fallMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
             attemptsToColdServers += attemptTimes.size();
         }
     }
@@ -126,18 +128,18 @@
     private final long seed;
     private final Faults faults;
     private final Map<String, SeatServer> servers = new LinkedHashMap<>();
-    private final List<List<GatewayHarness>> processes = new ArrayList<>(); // of each gateway, those that get requests
+    private final List<List<GatewayHarness>> processes = new ArrayList<>(); // by gateway, those that receive requests
     private final List<GatewayHarness> running = new ArrayList<>();
     private final Map<String, Attempt> lastAttempts = new HashMap<>();
     private double now;
     private int eventSequence;
     private int requests;
     private int startedProcesses;
-    double peakBudgetUse; // of the budget of N, and 2 roots of N and 2 for chance, in any window
-    double allowedAttempts; // by N over all the time
+    double peakBudgetUse; // largest share used of a window's budget N plus 2 sqrt(N) + 2 for random variation
+    double allowedAttempts; // sum of the budgets over the whole time
     int attemptsToColdServers;
-    int retries; // attempts, after a first one
-    int refused; // since the servers are back
+    int retries; // attempts after the first one of a request
+    int refused; // requests, since the servers have restarted
 
     ColdServerSimulation(long seed, Rules rules, int count, int cold, Faults faults) {
         this.seed = seed;
@@ -145,8 +147,8 @@
         this.faults = faults;
         random = new Random(seed);
         for (int i = 0; i < count; i++) {
-            SeatServer s = new SeatServer(i, i < cold);
-            servers.put(s.id, s);
+            SeatServer server = new SeatServer(i, i < cold);
+            servers.put(server.id, server);
         }
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
             int number = gateway;
@@ -157,13 +159,14 @@
     }
 
     ColdServerSimulation run() {
-        List<SeatServer> cold = servers.values().stream().filter(s -> s.isCold).toList();
+        List<SeatServer> cold =
+                servers.values().stream().filter(server -> server.isCold).toList();
         scheduleAfter(200, this::requestArrives);
         scheduleAt(COLD_STOP_MS, () -> cold.forEach(SeatServer::stop));
         scheduleAt(COLD_STOP_MS, () -> announce(cold));
         scheduleAt(COLD_RESTART_MS, () -> {
-            cold.forEach(s -> s.startedMs = now);
-            cold.forEach(s -> s.up = true);
+            cold.forEach(server -> server.startedMs = now);
+            cold.forEach(server -> server.up = true);
             announce(cold);
         });
         if (faults.allGatewaysRestart) {
@@ -175,20 +178,20 @@
         if (faults.restartsPerSecond > 0) scheduleAt(COLD_RESTART_MS, () -> restartInTurn(0));
         scheduleAt(1, this::runTimers);
         while (!events.isEmpty() && events.peek().atMs <= END_MS) {
-            Event e = events.poll();
-            now = e.atMs;
-            e.action.run();
+            Event event = events.poll();
+            now = event.atMs;
+            event.action.run();
         }
         cold.forEach(SeatServer::measureBudgetUse);
         return this;
     }
 
-    private void scheduleAt(double time, Runnable run) {
-        events.add(new Event(time, eventSequence++, run));
+    private void scheduleAt(double atMs, Runnable action) {
+        events.add(new Event(atMs, eventSequence++, action));
     }
 
-    private void scheduleAfter(double ms, Runnable run) {
-        scheduleAt(now + ms, run);
+    private void scheduleAfter(double delayMs, Runnable action) {
+        scheduleAt(now + delayMs, action);
     }
 
     private void runTimers() {
@@ -197,50 +200,51 @@
     }
 
     private void startProcess(int number) {
-        Settings s = GatewayHarness.settings(number, GATEWAYS, seed * 1000 + startedProcesses++);
+        Settings defaults = GatewayHarness.settings(number, GATEWAYS, seed * 1000 + startedProcesses++);
         String zone = "abc".substring(number % 3, number % 3 + 1);
         GatewayHarness gateway = new GatewayHarness(
                 now,
                 new Settings(
-                        s.seed(),
+                        defaults.seed(),
                         number,
                         GATEWAYS,
                         zone,
                         false,
-                        s.classes(),
-                        s.plans(),
-                        s.loadMetricNames(),
-                        s.limits(),
+                        defaults.classes(),
+                        defaults.plans(),
+                        defaults.loadMetricNames(),
+                        defaults.limits(),
                         rules,
-                        s.coordination()));
+                        defaults.coordination()));
         gateway.module.hostsUpdated(
                 now,
                 HostListKind.FULL,
                 servers.values().stream()
-                        .filter(h -> h.up)
+                        .filter(server -> server.up)
                         .map(SeatServer::toHost)
                         .toList());
         running.add(gateway);
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        if (!gatewayProcesses.isEmpty())
+        if (!gatewayProcesses.isEmpty()) {
             gateway.module.restoreCustomers(now, gatewayProcesses.get(0).module.snapshotCustomers(now));
+        }
         gatewayProcesses.add(gateway);
         gatewayProcesses.forEach(p -> p.module.processCountChanged(now, gatewayProcesses.size()));
     }
 
-    /** A new process in place of an old one, at once or after some time beside it. */
+    /** Replaces the old process by a new one, at once or after both have served for some time. */
     private void restartProcess(int number) {
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        GatewayHarness old = gatewayProcesses.get(0);
-        if (number % 2 == 0) endProcess(number, old);
+        GatewayHarness oldProcess = gatewayProcesses.get(0);
+        if (number % 2 == 0) endProcess(number, oldProcess);
         startProcess(number);
-        if (number % 2 == 1) scheduleAfter(OVERLAP_MS, () -> endProcess(number, old));
+        if (number % 2 == 1) scheduleAfter(OVERLAP_MS, () -> endProcess(number, oldProcess));
     }
 
-    private void endProcess(int number, GatewayHarness old) {
+    private void endProcess(int number, GatewayHarness oldProcess) {
         List<GatewayHarness> gatewayProcesses = processes.get(number);
-        running.remove(old);
-        gatewayProcesses.remove(old);
+        running.remove(oldProcess);
+        gatewayProcesses.remove(oldProcess);
         gatewayProcesses.forEach(p -> p.module.processCountChanged(now, gatewayProcesses.size()));
     }
 
@@ -264,17 +268,17 @@
         double perMs =
                 WARM_UTILIZATION * servers.size() * SLOTS / MEAN_SERVICE_MS * (now >= COLD_STOP_MS ? BURST_FACTOR : 1);
         scheduleAfter(-Math.log(1 - random.nextDouble()) / perMs, this::requestArrives);
-        double drawn = random.nextDouble(); // some gateways get several times the mean
+        double drawn = random.nextDouble(); // skewed below: some gateways receive several times the mean
         List<GatewayHarness> gatewayProcesses = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
         GatewayHarness gateway = gatewayProcesses.get(random.nextInt(gatewayProcesses.size()));
         advance(gateway);
-        String cls = List.of("read", "read", "pay", "order").get(random.nextInt(4));
+        String requestClass = List.of("read", "read", "pay", "order").get(random.nextInt(4));
         gateway.module.requestReceived(
-                now, new Request("r" + requests++, now + 3000, false, cls, 1, "unlimited", 1, 0, 1));
+                now, new Request("r" + requests++, now + 3000, false, requestClass, 1, "unlimited", 1, 0, 1));
         advance(gateway);
     }
 
-    /** Its timers, and then what it wants. */
+    /** Fires the gateway's timers and carries out its actions. */
     private void advance(GatewayHarness gateway) {
         gateway.runUntil(now);
         while (!gateway.sent.isEmpty() || !gateway.cancelled.isEmpty()) {
@@ -290,17 +294,17 @@
         gateway.log.clear();
     }
 
-    private void send(GatewayHarness gateway, GatewayHarness.SentAttempt s) {
-        SeatServer to = servers.get(s.host());
-        Attempt before = lastAttempts.get(s.id());
-        Attempt attempt = new Attempt(gateway, s.id(), before == null ? 0 : before.number + 1, s.atMs());
-        lastAttempts.put(s.id(), attempt);
-        if (to.startedMs > 0) to.attemptTimes.add(now);
+    private void send(GatewayHarness gateway, GatewayHarness.SentAttempt sent) {
+        SeatServer server = servers.get(sent.host());
+        Attempt previous = lastAttempts.get(sent.id());
+        Attempt attempt = new Attempt(gateway, sent.id(), previous == null ? 0 : previous.number + 1, sent.atMs());
+        lastAttempts.put(sent.id(), attempt);
+        if (server.startedMs > 0) server.attemptTimes.add(now);
         if (attempt.number > 0) retries++;
         Outcome fault =
                 List.of(Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED).get(random.nextInt(3));
         boolean fails = random.nextDouble() < faults.failureRate;
-        scheduleAfter(2, fails ? () -> attemptEnded(attempt, fault) : () -> to.accept(attempt));
+        scheduleAfter(2, fails ? () -> attemptEnded(attempt, fault) : () -> server.accept(attempt));
         scheduleAfter(3000, () -> attemptEnded(attempt, Outcome.TIMEOUT));
     }
 
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -11,37 +11,39 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway of a wide set asks a counter that bears fewer calls than there are requests. */
+/** Checks the calls of a gateway of a wide set to a counter that cannot take a call for each request. */
 class ScarceCounterTest {
     private static final int GATEWAYS = 60;
     private static final long CUSTOMER = 42;
     private static final double BURST_UNITS = 4;
-    private static final long WINDOW_MS = 60_000; // of a count
-    private static final double UNITS_BEYOND_ANY_QUOTA =
-            2 * (BURST_UNITS + WINDOW_MS / 1000.0); // no store holds anything then
+    private static final long WINDOW_MS = 60_000; // that one counter name covers
+    /** Use that leaves nothing of the quota. */
+    private static final double UNITS_BEYOND_ANY_QUOTA = 2 * (BURST_UNITS + WINDOW_MS / 1000.0);
+
     private static final double UNITS_PER_S = 1;
-    private static final double ANSWER_VALID_MS = 2 * 1000 * BURST_UNITS; // for which an answer tells of the store
+    private static final double ANSWER_VALID_MS =
+            2 * 1000 * BURST_UNITS; // for which a reply is evidence of the quota level
 
     private GatewayHarness gateway;
     private int requests;
 
-    /** Excess costs a share of its worth, so that it pays to let in more or fewer on a guess. */
+    /** Excess costs this share of its worth, which decides how many requests it pays to admit on an estimate. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
-        Settings s = GatewayHarness.settings(0, GATEWAYS);
+        Settings defaults = GatewayHarness.settings(0, GATEWAYS);
         gateway = new GatewayHarness(
                         0,
                         new Settings(
-                                s.seed(),
+                                defaults.seed(),
                                 0,
                                 GATEWAYS,
                                 "a",
                                 false,
-                                s.classes(),
+                                defaults.classes(),
                                 List.of(plan),
                                 List.of(),
                                 new Limits(3, false, true, false, false, true, 500, 100),
-                                s.rules(),
+                                defaults.rules(),
                                 new Coordination(true, 0, 80, 1000, false, 1, 0, 0, 0, 0)))
                 .withHosts("a1", "a2", "a3", "a4");
     }
@@ -50,7 +52,7 @@
         gateway.request("q" + requests++, "read", "small", customer, 1, GATEWAYS);
     }
 
-    /** Requests of one customer until one of them is called for. */
+    /** Sends requests of one customer until one of them causes a call to the counter. */
     private GatewayHarness.CounterCall requestUntilCallFor(long customer) {
         for (int i = 0; i < 1000; i++) {
             request(customer);
@@ -71,15 +73,16 @@
     }
 
     private int callsFor(long customer) {
-        return (int)
-                gateway.counterCalls.stream().filter(c -> isFor(customer, c)).count();
+        return (int) gateway.counterCalls.stream()
+                .filter(call -> isFor(customer, call))
+                .count();
     }
 
     private void answer(GatewayHarness.CounterCall call, double total) {
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
-    /** What the customer may have used since the count's window began. */
+    /** The units that the customer may have used since the window of the counter name began. */
     private double allowedUnits(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
@@ -92,30 +95,33 @@
         GatewayHarness.CounterCall call = requestUntilCallFor(CUSTOMER);
         answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         answerCallsThatReturnUnits();
-        int refused = gateway.refused.size();
+        int refusedBefore = gateway.refused.size();
         for (double elapsedMs = 0; elapsedMs < ANSWER_VALID_MS - 1000; elapsedMs += 500) {
             request(CUSTOMER);
             gateway.advance(500);
         }
         assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
-        assertTrue(gateway.refused.size() - refused >= ANSWER_VALID_MS / 500 - 3);
+        assertTrue(gateway.refused.size() - refusedBefore >= ANSWER_VALID_MS / 500 - 3);
     }
 
-    /** What the call took for a request that was then refused, and for those that it stands for, is given back. */
+    /**
+     * The units that a call added for a request that is then refused, and for the admitted requests that the call was
+     * sampled from, are subtracted again.
+     */
     @Test
     void unitsOfARefusedCallAreReturned() {
         start(0.5);
         GatewayHarness.CounterCall call = requestUntilSampledCall();
         answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         gateway.advance(3000);
-        double given = gateway.counterCalls.stream()
+        double returnedUnits = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
                 .mapToDouble(GatewayHarness.CounterCall::amount)
                 .sum();
-        assertEquals(-call.amount(), given, 1e-9, gateway.counterCalls.toString());
+        assertEquals(-call.amount(), returnedUnits, 1e-9, gateway.counterCalls.toString());
     }
 
-    /** Many customers ask at once, so that not every request can be called for. */
+    /** Sends requests of many customers at once, so that only a sample of them can cause calls; returns such a call. */
     private GatewayHarness.CounterCall requestUntilSampledCall() {
         for (int i = 0; i < 2000; i++) {
             request(1000 + i);
@@ -129,10 +135,10 @@
             }
             gateway.advance(2);
         }
-        throw new AssertionError("each request was called for");
+        throw new AssertionError("each request caused a call");
     }
 
-    /** Units that wait to be given back are told. */
+    /** Lets the gateway report the units that it returns, and answers those calls. */
     private void answerCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
