--- a/src/main/java/deckfall/scale/RealOptions.java
+++ b/src/main/java/deckfall/scale/RealOptions.java
@@ -9,44 +9,51 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The arguments of a run with real processes: those of a hollow one, and what concerns the processes. */
+/** The options of a run with real processes: those of a simulation and those for the processes. */
 @Command(
         name = "real",
-        description = "A few real gateways beside hollow ones, against the same stand-ins on sockets.",
+        description = "Runs a few real gateways among simulated ones, against the same simulated services on sockets.",
         sortOptions = false,
         mixinStandardHelpOptions = true)
 final class RealOptions extends SimulationOptions {
-    private static final double TARGET_UTILIZATION = 0.05; // of the slots
+    private static final double TARGET_UTILIZATION = 0.05; // share of the servers' slots in use
     private static final int MAX_PROCESSES = 200;
     private static final double MEGABYTES_PER_PROCESS = 160;
-    private static final double MEGABYTES_FOR_RUN = 1024; // of the run itself
+    private static final double MEGABYTES_FOR_RUN = 1024; // for the run itself
     private static final int MAX_RUN_SECONDS = 3600;
     private static final Pattern RUN_COMMAND_LINE =
             Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"\\s*(?:#.*)?$");
 
-    @Option(names = "--processes", defaultValue = "2", description = "of the gateways, real ones (${DEFAULT-VALUE})")
+    @Option(
+            names = "--processes",
+            defaultValue = "2",
+            description = "number of gateways that are real processes (${DEFAULT-VALUE})")
     int processes;
 
     @Option(
             names = "--hollow",
             defaultValue = "-1",
-            description = "gateways that run hollow beside them; the rest is left out with its clients (-1: all)")
+            description =
+                    "gateways simulated beside them; any others are left out with their clients (-1: all simulated)")
     private int simulatedGateways;
 
     @Option(
             names = "--settle-seconds",
             defaultValue = "4",
-            description = "after all are ready: their compilers are done (${DEFAULT-VALUE})")
+            description = "wait after all processes are ready, for their JIT compilers, in seconds (${DEFAULT-VALUE})")
     double settleSeconds;
 
     @Option(
             names = "--deploy",
             defaultValue = "deploy/balancer.toml",
             paramLabel = "FILE",
-            description = "says how one is started, from its folder's parent (${DEFAULT-VALUE})")
+            description = "file whose command starts a gateway, in the parent of the file's folder (${DEFAULT-VALUE})")
     Path deployFile;
 
-    @Option(names = "--run", paramLabel = "COMMAND", description = "starts one, in place of the file's")
+    @Option(
+            names = "--run",
+            paramLabel = "COMMAND",
+            description = "command that starts a gateway, in place of the one in the file")
     String runCommand;
 
     @Override
@@ -67,7 +74,7 @@
             throw usageError("--processes: " + processes + " may need more than half of this machine's memory");
         }
         if (!faults.isEmpty()) {
-            throw usageError("--fault: only in a hollow run");
+            throw usageError("--fault: only supported in a simulation (scale hollow)");
         }
         if (counterCallsPerSecond <= 0) {
             throw usageError("--counter-rate: a real gateway needs a counter");
@@ -89,7 +96,7 @@
             if (matcher.find()) {
                 return matcher.group(1).replaceAll("\\\\(.)", "$1");
             }
-            throw usageError("--deploy: '" + deployFile + "' names no run");
+            throw usageError("--deploy: '" + deployFile + "' has no run command");
         } catch (IOException e) {
             throw usageError("--deploy: can't read '" + deployFile + "'");
         }
@@ -106,18 +113,19 @@
         return simulatedGateways < 0 ? gateways - processes : simulatedGateways;
     }
 
-    /** A line at a server would show as time added: there is to be none. */
+    /** A low utilization, so that servers have no queues: these would show as latency added by the gateway. */
     @Override
     int slots() {
         return slots > 0 ? slots : slotsForUtilization(TARGET_UTILIZATION);
     }
 
-    /** The time without load comes first here, while the processes are fresh. */
+    /** The time without load comes first here, while the processes are freshly started. */
     @Override
     double measuredFromMs() {
         return loadFromMs() + 1000 * warmUpSeconds;
     }
 
+    /** The virtual time at which the load starts. */
     double loadFromMs() {
         return STARTUP_MS + 1000 * idleSeconds;
     }
--- a/src/main/java/deckfall/scale/ScaleCommand.java
+++ b/src/main/java/deckfall/scale/ScaleCommand.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line of {@code scale}: what the decision module costs and does at a fleet's size. A bad argument gets
- * one plain line and the exit code 2, a run that fails 1.
+ * The {@code scale} command: measures what the decision module does and costs in a fleet of full size. An invalid
+ * argument gives one line on the error output and exit code 2, a failed run exit code 1.
  */
 @Command(
         name = "scale",
-        description = "Runs of the gateways at a fleet's size.",
+        description = "Measures the gateways in a fleet of full size.",
         mixinStandardHelpOptions = true,
         subcommands = {SimulationOptions.class, RealOptions.class})
 public final class ScaleCommand implements Runnable {
@@ -26,10 +26,10 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "say which run: hollow or real");
+        throw new ParameterException(spec.commandLine(), "missing subcommand: hollow or real");
     }
 
-    /** The exit code. */
+    /** Runs the command and returns its exit code. */
     public static int run(String... arguments) {
         return run(new PrintWriter(System.err, true, StandardCharsets.UTF_8), arguments);
     }
--- a/src/main/java/deckfall/scale/SimulationOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -13,15 +13,15 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The arguments of a run of hollow gateways; each is checked before anything is built. */
+/** The options of a run of simulated gateways. All are checked before the run starts. */
 @Command(
         name = "hollow",
-        description = "The decision module of a whole fleet on one clock, against stand-ins.",
+        description = "Simulates a whole fleet with the real decision module in virtual time.",
         sortOptions = false,
         mixinStandardHelpOptions = true)
 class SimulationOptions implements Callable<Integer> {
-    static final double STARTUP_MS = 1000; // in which the gateways start, each at a moment of its own
-    private static final double TARGET_UTILIZATION = 0.5; // of the servers' slots, where these are not given
+    static final double STARTUP_MS = 1000; // in which the gateways start, each at a random time
+    private static final double TARGET_UTILIZATION = 0.5; // of the slots of a server, if --slots is not given
     private static final int MAX_GATEWAYS = 10_000;
     private static final int MAX_SERVERS = 100_000;
     private static final int MAX_CLASSES = 100_000;
@@ -33,128 +33,206 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--gateways", defaultValue = "100", description = "api gateways (${DEFAULT-VALUE})")
+    @Option(names = "--gateways", defaultValue = "100", description = "number of API gateways (${DEFAULT-VALUE})")
     int gateways;
 
-    @Option(names = "--servers", defaultValue = "200", description = "seat servers (${DEFAULT-VALUE})")
+    @Option(names = "--servers", defaultValue = "200", description = "number of seat servers (${DEFAULT-VALUE})")
     int servers;
 
-    @Option(names = "--zones", defaultValue = "3", description = "zones (${DEFAULT-VALUE})")
+    @Option(names = "--zones", defaultValue = "3", description = "number of zones (${DEFAULT-VALUE})")
     int zones;
 
-    @Option(names = "--regions", defaultValue = "1", description = "regions that share the zones (${DEFAULT-VALUE})")
+    @Option(
+            names = "--regions",
+            defaultValue = "1",
+            description = "number of regions that share the zones (${DEFAULT-VALUE})")
     int regions;
 
-    @Option(names = "--classes", defaultValue = "2", description = "classes of requests (${DEFAULT-VALUE})")
+    @Option(names = "--classes", defaultValue = "2", description = "number of request classes (${DEFAULT-VALUE})")
     int classes;
 
-    @Option(names = "--tenants", defaultValue = "6300", description = "customers (${DEFAULT-VALUE})")
+    @Option(names = "--tenants", defaultValue = "6300", description = "number of customers (${DEFAULT-VALUE})")
     int customers;
 
-    @Option(names = "--spread", defaultValue = "3", description = "gateways of a customer's set (${DEFAULT-VALUE})")
+    @Option(
+            names = "--spread",
+            defaultValue = "3",
+            description = "number of gateways in a customer's set (${DEFAULT-VALUE})")
     int spread;
 
-    @Option(names = "--rps", defaultValue = "10200", description = "first tries a second in all (${DEFAULT-VALUE})")
+    @Option(
+            names = "--rps",
+            defaultValue = "10200",
+            description = "requests per second of all clients together, without retries (${DEFAULT-VALUE})")
     double requestsPerSecond;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "measured time (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "20",
+            description = "duration of the measured period in seconds (${DEFAULT-VALUE})")
     double seconds;
 
-    @Option(names = "--warm-up-seconds", defaultValue = "10", description = "load before it (${DEFAULT-VALUE})")
+    @Option(
+            names = "--warm-up-seconds",
+            defaultValue = "10",
+            description = "time under load before the measured period in seconds (${DEFAULT-VALUE})")
     double warmUpSeconds;
 
-    @Option(names = "--idle-seconds", defaultValue = "2", description = "without load after it (${DEFAULT-VALUE})")
+    @Option(
+            names = "--idle-seconds",
+            defaultValue = "2",
+            description =
+                    "seconds without load: after the measured period, or first with real processes (${DEFAULT-VALUE})")
     double idleSeconds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of all that is drawn (${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of all random numbers (${DEFAULT-VALUE})")
     long seed;
 
-    @Option(names = "--service-ms", defaultValue = "50", description = "mean service time (${DEFAULT-VALUE})")
+    @Option(
+            names = "--service-ms",
+            defaultValue = "50",
+            description = "mean service time of a request in milliseconds (${DEFAULT-VALUE})")
     double serviceMs;
 
     @Option(
             names = "--slots",
             defaultValue = "0",
-            description = "requests in work at a server; 0: so many that half are used (${DEFAULT-VALUE})")
+            description = "requests that a server processes concurrently; 0: as many that half are in use, "
+                    + "or one in twenty with real processes (${DEFAULT-VALUE})")
     int slots;
 
-    @Option(names = "--queue-slots", defaultValue = "4", description = "its line, times its slots (${DEFAULT-VALUE})")
+    @Option(
+            names = "--queue-slots",
+            defaultValue = "4",
+            description = "length of a server's queue as a multiple of its slots (${DEFAULT-VALUE})")
     double queueSlotsFactor;
 
-    @Option(names = "--cold-from", defaultValue = "0.3", description = "capacity at its start (${DEFAULT-VALUE})")
+    @Option(
+            names = "--cold-from",
+            defaultValue = "0.3",
+            description = "capacity of a server at its start as a share of its full capacity (${DEFAULT-VALUE})")
     double coldCapacity;
 
-    @Option(names = "--warm-ms", defaultValue = "10000", description = "until it is warm (${DEFAULT-VALUE})")
+    @Option(
+            names = "--warm-ms",
+            defaultValue = "10000",
+            description = "time from the start of a server to its full capacity in milliseconds (${DEFAULT-VALUE})")
     double serverWarmUpMs;
 
-    @Option(names = "--goal-ms", defaultValue = "300", description = "time a request aims at (${DEFAULT-VALUE})")
+    @Option(
+            names = "--goal-ms",
+            defaultValue = "300",
+            description = "response time goal of a request in milliseconds (${DEFAULT-VALUE})")
     double goalMs;
 
-    @Option(names = "--deadline-ms", defaultValue = "600", description = "that a client waits (${DEFAULT-VALUE})")
+    @Option(
+            names = "--deadline-ms",
+            defaultValue = "600",
+            description = "time that a client waits for a response in milliseconds (${DEFAULT-VALUE})")
     double deadlineMs;
 
-    @Option(names = "--max-units", defaultValue = "1", description = "a request's largest units (${DEFAULT-VALUE})")
+    @Option(
+            names = "--max-units",
+            defaultValue = "1",
+            description = "largest number of units of a request (${DEFAULT-VALUE})")
     int maxUnits;
 
-    @Option(names = "--open-limit", defaultValue = "0", description = "a customer's attempts out (${DEFAULT-VALUE})")
+    @Option(
+            names = "--open-limit",
+            defaultValue = "0",
+            description = "limit of a customer's concurrent attempts; 0: no limit (${DEFAULT-VALUE})")
     int maxOpenAttempts;
 
-    @Option(names = "--retries", defaultValue = "2", description = "further tries of a client (${DEFAULT-VALUE})")
+    @Option(
+            names = "--retries",
+            defaultValue = "2",
+            description = "largest number of retries of a refused request (${DEFAULT-VALUE})")
     int retries;
 
-    @Option(names = "--retry-share", defaultValue = "0.4", description = "of what was refused (${DEFAULT-VALUE})")
+    @Option(
+            names = "--retry-share",
+            defaultValue = "0.4",
+            description = "share of the refused requests that are retried (${DEFAULT-VALUE})")
     double retryShare;
 
-    @Option(names = "--near-ms", defaultValue = "0.25", description = "one way in a zone (${DEFAULT-VALUE})")
+    @Option(
+            names = "--near-ms",
+            defaultValue = "0.25",
+            description = "one-way latency within a zone in milliseconds (${DEFAULT-VALUE})")
     double zoneLatencyMs;
 
-    @Option(names = "--region-ms", defaultValue = "15", description = "one way between regions (${DEFAULT-VALUE})")
+    @Option(
+            names = "--region-ms",
+            defaultValue = "15",
+            description = "one-way latency between regions in milliseconds (${DEFAULT-VALUE})")
     double regionLatencyMs;
 
-    @Option(names = "--discovery-ms", defaultValue = "1000", description = "longest delay (${DEFAULT-VALUE})")
+    @Option(
+            names = "--discovery-ms",
+            defaultValue = "1000",
+            description = "longest delay of a list from discovery in milliseconds (${DEFAULT-VALUE})")
     double maxDiscoveryDelayMs;
 
     @Option(
             names = "--counter-rate",
             defaultValue = "1100",
-            description = "calls a second in all; 0: no counter (${DEFAULT-VALUE})")
+            description = "calls per second that the counter serves in total; 0: no counter (${DEFAULT-VALUE})")
     double counterCallsPerSecond;
 
-    @Option(names = "--counter-parts", defaultValue = "1", description = "parts of it (${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-parts",
+            defaultValue = "1",
+            description = "number of shards of the counter (${DEFAULT-VALUE})")
     int counterShards;
 
-    @Option(names = "--counter-ms", defaultValue = "1", description = "there and back (${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-ms",
+            defaultValue = "1",
+            description = "round-trip time to the counter in milliseconds (${DEFAULT-VALUE})")
     double counterRoundTripMs;
 
-    @Option(names = "--counter-timeout-ms", defaultValue = "50", description = "of a call (${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-timeout-ms",
+            defaultValue = "50",
+            description = "timeout of a counter call in milliseconds (${DEFAULT-VALUE})")
     double counterTimeoutMs;
 
-    @Option(names = "--counter-line", defaultValue = "1", description = "longest, in time-outs (${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-line",
+            defaultValue = "1",
+            description = "longest wait in a queue of the counter as a multiple of the call timeout (${DEFAULT-VALUE})")
     double maxCounterQueueTimeouts;
 
-    @Option(names = "--meter-period-ms", defaultValue = "1000", description = "of the meter (${DEFAULT-VALUE})")
+    @Option(
+            names = "--meter-period-ms",
+            defaultValue = "1000",
+            description = "period of the meter in milliseconds (${DEFAULT-VALUE})")
     double meterPeriodMs;
 
-    @Option(names = "--meter-late-ms", defaultValue = "350", description = "0: no meter (${DEFAULT-VALUE})")
+    @Option(
+            names = "--meter-late-ms",
+            defaultValue = "350",
+            description =
+                    "delay of the meter after the end of a period in milliseconds; 0: no meter (${DEFAULT-VALUE})")
     double meterDelayMs;
 
-    @Option(names = "--references", description = "play the reference policies on the same seed as well")
+    @Option(names = "--references", description = "also run the reference policies with the same seed")
     boolean withReferences;
 
     @Option(
             names = "--seen-late-ms",
             defaultValue = "500",
-            description = "age of the stores that the late-seeing reference knows (${DEFAULT-VALUE})")
+            description = "age in milliseconds of the buckets that the late-seeing reference knows (${DEFAULT-VALUE})")
     double referenceDelayMs;
 
     @Option(
             names = "--fault",
             paramLabel = "AT:KIND:LENGTH[:SIZE]",
             converter = Fault.Converter.class,
-            description = "seconds after the warm-up, kind, seconds, size; may be given again")
+            description = "start in seconds after the warm-up, kind, duration in seconds, size; may be repeated")
     List<Fault> faults = new ArrayList<>();
 
-    @Option(names = "--json", paramLabel = "FILE", description = "a line of results is added to it")
+    @Option(names = "--json", paramLabel = "FILE", description = "file to which a line of results is appended")
     File jsonFile;
 
     @Override
@@ -163,7 +241,7 @@
         return report(System.err).write(System.out);
     }
 
-    /** Plays the module and, where they are wanted, the reference policies. */
+    /** Runs the decision module and, if requested, the reference policies. */
     Report report(PrintStream progress) {
         SimulationRun.Result result = new SimulationRun(this, progress).run();
         Report report = new Report(this, "hollow", result.fleet(), result.costs());
@@ -180,6 +258,7 @@
         return report;
     }
 
+    /** Rejects values out of range and combinations that no run supports. */
     void check() {
         requireInRange("--gateways", gateways, 1, MAX_GATEWAYS);
         requireInRange("--servers", servers, 1, MAX_SERVERS);
@@ -241,25 +320,27 @@
         return new ParameterException(spec.commandLine(), message);
     }
 
+    /** The virtual time at which the warm-up ends. */
     double measuredFromMs() {
         return STARTUP_MS + 1000 * warmUpSeconds;
     }
 
+    /** The virtual time at which the load ends. */
     double measuredUntilMs() {
         return measuredFromMs() + 1000 * seconds;
     }
 
-    /** Requests in work at a server. */
+    /** The number of requests that a server processes concurrently. */
     int slots() {
         return slots > 0 ? slots : slotsForUtilization(TARGET_UTILIZATION);
     }
 
-    /** As many as leave such a share of them in use. */
+    /** The number of slots per server that yields such a utilization. */
     final int slotsForUtilization(double utilization) {
         return (int) Math.ceil(requestsPerSecond * serviceMs / 1000 / servers / utilization);
     }
 
-    /** Each argument with its value. */
+    /** The value of each option by its name. */
     Map<String, Object> arguments() {
         Map<String, Object> arguments = new LinkedHashMap<>();
         spec.options().stream()
