--- a/src/main/java/deckfall/scale/ClientRequest.java
+++ b/src/main/java/deckfall/scale/ClientRequest.java
@@ -3,21 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request of a client at one gateway, and the attempts that the gateway makes of it. */
+/**
+ * One request of a client to one gateway, with the attempts that the gateway makes for it. A retry of the client is a
+ * request of its own.
+ */
 final class ClientRequest {
     final long number;
     final String id;
     final int customer;
     final int units;
     final int requestClass;
-    final int retryNumber; // tries of the same client before
+    final int retryNumber; // earlier requests of the client for the same thing; 0 for the first
     final double arrivedMs;
     final double deadlineMs;
-    final boolean measured; // came after the warm-up
+    final boolean measured; // arrived after the warm-up
     final List<Attempt> attempts = new ArrayList<>(1);
     int gateway;
     boolean dispatched; // its first attempt was sent
-    boolean quotaCharged; // its first attempt came to a seat server: it has taken its units
+    boolean quotaCharged; // its first attempt arrived at a seat server: its units are taken
     boolean closed;
 
     ClientRequest(
@@ -53,7 +56,7 @@
         return false;
     }
 
-    /** A copy of it at one seat server. */
+    /** One attempt of a request, at one seat server. */
     static final class Attempt {
         final FleetGateway gateway;
         final ClientRequest request;
--- a/src/main/java/deckfall/scale/CounterConnectionHandler.java
+++ b/src/main/java/deckfall/scale/CounterConnectionHandler.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One connection of a real gateway to the counter: lines of RESP2, whose answers go out in the order of the calls. */
+/** Serves one connection of a real gateway to the counter in RESP2; replies are sent in the order of the calls. */
 final class CounterConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final double NO_TIMEOUT_MS = 1e12; // the counter puts no time-out on its callers
+    private static final double NO_TIMEOUT_MS = 1e12; // the counter imposes no timeout on its callers
     private static final int ADDGET_WORDS = 4;
 
     private static final class PendingReply {
@@ -25,7 +25,7 @@
     private final ControlTraffic traffic;
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
     private final List<String> words = new ArrayList<>();
-    private int remainingLines; // lines of the call under way
+    private int remainingLines; // lines of the current call that are still to come
     private boolean wordExpected;
 
     CounterConnectionHandler(Fleet fleet, RealTimePacer pacer, FleetGateway gateway, ControlTraffic traffic) {
@@ -35,7 +35,7 @@
         this.traffic = traffic;
     }
 
-    /** A call is a line with the number of its words, and for each word one with its length and one with itself. */
+    /** A call is a line with the number of its words, followed by two lines for each word: its length and its text. */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
         String text = line.toString(StandardCharsets.US_ASCII);
--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -5,22 +5,23 @@
 import java.util.List;
 
 /**
- * Who asks, under which plan, of which gateways and how much: most customers use a part of their quota, some nearly
- * all, some ask far more for seconds at a time and a few all day. How many have a dear plan follows from the load
- * that is wanted in all; where no mix of plans gives it, the plans' rates are scaled.
+ * The customers with their plans, their sets of gateways and their load: most customers use a part of their quota, some
+ * nearly all of it, some exceed it by far for seconds at a time and a few do so permanently. How many customers have an
+ * expensive plan follows from the requested total load; where no mix of plans yields that load, the rates of the plans
+ * are scaled.
  */
 final class Customers {
-    /** The mean of the shares below, by which the mix of plans is found. */
+    /** Mean of the load shares of all customers, from which the mix of plans is derived. */
     private static final double MEAN_LOAD_SHARE = 0.8;
 
-    private static final double NEAR_QUOTA_CUSTOMER_SHARE = 0.2; // shares of the customers
+    private static final double NEAR_QUOTA_CUSTOMER_SHARE = 0.2; // share of the customers, as the next two
     private static final double OVER_QUOTA_CUSTOMER_SHARE = 0.08;
     private static final double SPIKY_CUSTOMER_SHARE = 0.17;
-    private static final double SPIKY_BASE_LOAD_SHARE = 0.3; // of the rate, between spikes
+    private static final double SPIKY_BASE_LOAD_SHARE = 0.3; // share of the plan's rate, between spikes
     private static final double MAX_RATE_EXPONENT = 16;
     private static final int BISECTION_STEPS = 60;
 
-    /** What a customer asks for, as share of its rate. */
+    /** The load of a customer, as a share of the rate of its plan. */
     enum LoadProfile {
         LIGHT(0.15, 0.5),
         NEAR_QUOTA(0.9, 1),
@@ -43,7 +44,7 @@
     private final List<Plan> plans = new ArrayList<>();
     private final byte[] planIndexes;
     private final LoadProfile[] profiles;
-    private final double[] baseUnitsPerSecond; // units a second, spikes apart
+    private final double[] baseUnitsPerSecond; // without spikes
     private final int[] first;
     private final int spread;
 
@@ -84,6 +85,7 @@
         }
     }
 
+    /** A plan's weight in the mix: its rate to the power of the exponent. */
     private static double weight(Plan plan, double rateExponent) {
         return Math.pow(plan.rate(), rateExponent);
     }
@@ -98,6 +100,7 @@
                 / weightSum;
     }
 
+    /** Finds the exponent for which the mix of plans has the wanted mean rate, by bisection. */
     private static double findRateExponent(double targetRate) {
         double low = -MAX_RATE_EXPONENT;
         double high = MAX_RATE_EXPONENT;
@@ -145,7 +148,7 @@
         return plans;
     }
 
-    /** The plans as gateways are told of them where another decides on quotas. */
+    /** The plans for gateways that leave the quotas to an admission policy. */
     List<Plan> plansWithoutQuotas() {
         return plans.stream()
                 .map(plan -> new Plan(
@@ -157,7 +160,7 @@
         return plans.get(planIndexes[customer]);
     }
 
-    /** The number that gateways know it by. */
+    /** The id of a customer in the requests to the gateways. */
     long gatewayId(int customer) {
         return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -24,14 +24,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The agent of discovery beside a real gateway: the whole list, and watches that wait for what is new. */
+/** The discovery agent beside a real gateway: serves the full list of hosts, and long polls for changes. */
 @Sharable
 final class DiscoveryAgent extends SimpleChannelInboundHandler<FullHttpRequest> implements SimulatedDiscovery.Listener {
     private static final long MAX_HOLD_MS = 60_000;
 
     private record Watch(ChannelHandlerContext ctx) {}
 
-    private final Function<String, String> addressOf; // a server
+    private final Function<String, String> addressOf; // by server id
     private final ControlTraffic traffic;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Long, List<Host>> changesByVersion = new LinkedHashMap<>();
@@ -127,7 +127,7 @@
         return json;
     }
 
-    /** What a gateway is started with. */
+    /** The full list for the configuration that a gateway is started with. */
     ObjectNode knownHostsAsJson() {
         return listAsJson(true, hosts.values());
     }
--- a/src/main/java/deckfall/scale/NetworkTopology.java
+++ b/src/main/java/deckfall/scale/NetworkTopology.java
@@ -1,6 +1,6 @@
 package deckfall.scale;
 
-/** Which zone and region a gateway or a server stands in, and how long a message takes between two. */
+/** The zones and regions of gateways and servers, and the network latency between them. */
 final class NetworkTopology {
     private final int zones;
     private final int regions;
@@ -27,7 +27,7 @@
         return zone * regions / zones;
     }
 
-    /** One way. */
+    /** The one-way latency between two zones. */
     double latencyMs(int from, int to) {
         if (regionOf(from) != regionOf(to)) {
             return regionLatencyMs;
@@ -35,7 +35,7 @@
         return from == to ? zoneLatencyMs : 2 * zoneLatencyMs;
     }
 
-    /** Whether regions have lost each other. */
+    /** Sets whether the regions can't reach each other. */
     void setPartitioned(boolean partitionedNow) {
         partitioned = partitionedNow;
     }
--- a/src/main/java/deckfall/scale/SimulatedClients.java
+++ b/src/main/java/deckfall/scale/SimulatedClients.java
@@ -3,21 +3,22 @@
 import java.util.function.Consumer;
 
 /**
- * Stands in for the clients and the front: each customer's requests come by chance at its rate, are dealt out
- * unevenly over its set by weights that shift every few seconds, and some of what is refused comes again.
+ * Simulates the clients and how the load balancer spreads their requests: the requests of each customer arrive at
+ * random at its rate and go to the gateways of its set unevenly, by weights that change every few seconds. Some of the
+ * refused requests are retried.
  */
 final class SimulatedClients {
-    private static final double WEIGHT_LOG_DEVIATION = 0.9; // of the weights over a set
-    private static final double MIN_WEIGHTS_DURATION_MS = 5000; // for which the weights stay
+    private static final double WEIGHT_LOG_DEVIATION = 0.9; // standard deviation of the logarithm of a gateway's weight
+    private static final double MIN_WEIGHTS_DURATION_MS = 5000; // how long the weights of a set hold
     private static final double MAX_WEIGHTS_DURATION_MS = 25_000;
-    private static final double MIN_SPIKE_RATE_FACTOR = 2; // times the rate
+    private static final double MIN_SPIKE_RATE_FACTOR = 2; // times the rate of the plan
     private static final double MAX_SPIKE_RATE_FACTOR = 8;
     private static final double MIN_SPIKE_DURATION_MS = 500;
     private static final double MAX_SPIKE_DURATION_MS = 5000;
     private static final double MIN_CALM_DURATION_MS = 10_000; // between spikes
     private static final double MAX_CALM_DURATION_MS = 25_000;
-    private static final double INITIAL_BACKOFF_MS = 200; // before a first further try; doubles
-    private static final double OTHER_GATEWAY_SHARE = 0.5; // of the further tries
+    private static final double INITIAL_BACKOFF_MS = 200; // before the first retry; doubles with each retry
+    private static final double OTHER_GATEWAY_SHARE = 0.5; // of the retries
     static final int MAX_RETRIES = 3;
 
     private final EventQueue queue;
@@ -27,11 +28,11 @@
     private final double meanUnitsPerRequest;
     private final long[] drawCounts;
     private final int[] requestCounts;
-    private final double[] requestsPerMs; // tries a millisecond
+    private final double[] requestsPerMs;
     private final double[] phaseEndMs;
     private final boolean[] inSpike;
     private final double[] weightsEndMs;
-    private final float[] cumulativeWeights; // of each customer's set, summed up
+    private final float[] cumulativeWeights; // cumulative, for each gateway of each customer's set
     private double endMs = Double.POSITIVE_INFINITY;
 
     SimulatedClients(
@@ -51,7 +52,7 @@
         cumulativeWeights = new float[count * customers.spread()];
     }
 
-    /** Requests come from now on, up to a time. */
+    /** Starts to generate requests, until the given time. */
     void start(double untilMs) {
         endMs = untilMs;
         for (int customer = 0; customer < customers.count(); customer++) {
@@ -71,7 +72,10 @@
         return from + (to - from) * draw(customer);
     }
 
-    /** The time by which the rates of the phases on the way add up to a drawn number. */
+    /**
+     * Schedules the customer's next request: at the time when its rate, integrated over the phases until then, reaches
+     * an exponentially distributed number.
+     */
     private void scheduleNext(int customer) {
         double remaining = -Math.log(1 - draw(customer));
         double atMs = queue.now();
@@ -86,6 +90,7 @@
         }
     }
 
+    /** Switches a customer between its base load and a spike. */
     private void startNextPhase(int customer) {
         inSpike[customer] = !inSpike[customer];
         double planRate = customers.plan(customer).rate() / meanUnitsPerRequest / 1000;
@@ -122,6 +127,7 @@
         requestConsumer.accept(request);
     }
 
+    /** Chooses a gateway of the customer's set at random by the current weights. */
     private int chooseGateway(int customer) {
         int spread = customers.spread();
         if (queue.now() >= weightsEndMs[customer]) {
@@ -129,7 +135,7 @@
             double weightSum = 0;
             for (int i = 0; i < spread; i++) {
                 double normal =
-                        2 * (draw(customer) + draw(customer) + draw(customer)) - 3; // nearly, with a deviation of 1
+                        2 * (draw(customer) + draw(customer) + draw(customer)) - 3; // approximately standard normal
                 weightSum += Math.exp(WEIGHT_LOG_DEVIATION * normal);
                 cumulativeWeights[customer * spread + i] = (float) weightSum;
             }
@@ -142,7 +148,9 @@
         return (customers.first(customer) + position) % options.gateways;
     }
 
-    /** A try was refused, or its gateway was not there: some clients come again, some of these elsewhere. */
+    /**
+     * Called when a request was refused or its gateway was down: some clients retry, some of these at another gateway.
+     */
     void retryOrGiveUp(ClientRequest request, double retryAfterMs) {
         long seed = HashRandom.mix(options.seed, request.number);
         boolean retries = request.retryNumber < Math.min(MAX_RETRIES, options.retries)
--- a/src/main/java/deckfall/scale/SimulatedCounter.java
+++ b/src/main/java/deckfall/scale/SimulatedCounter.java
@@ -6,13 +6,14 @@
 import java.util.function.ObjDoubleConsumer;
 
 /**
- * Stands in for the quota counter: numbers by name on a few parts, each of which serves its calls in turn at a fixed
- * rate, turns calls away when its line is long, and also works on calls that nobody waits for any more.
+ * Simulates the quota counter: named totals on a few shards. Each shard serves its calls in order of arrival at a fixed
+ * rate, rejects calls when its queue is too long, and also serves calls whose callers have timed out.
  */
 final class SimulatedCounter {
     static final double MAX_LIFETIME_MS = 60_000;
     private static final double SWEEP_INTERVAL_MS = 10_000;
 
+    /** How the counter treats calls. */
     enum Mode {
         SERVING,
         SILENT,
@@ -25,11 +26,12 @@
     }
 
     private final EventQueue queue;
-    private final double serviceMs; // of a part
+    private final double serviceMs; // per call on one shard
     private final double latencyMs;
     private final double maxQueueWaitMs;
     private final double[] shardFreeAtMs;
-    private final Map<String, Entry> entries = new HashMap<>(); // looked up by name, never gone through in order
+    // Lookups only: no result depends on the iteration order.
+    private final Map<String, Entry> entries = new HashMap<>();
     private Mode mode = Mode.SERVING;
     private double slowdownFactor = 1;
     private int generation;
@@ -47,7 +49,10 @@
         queue.scheduleAfter(SWEEP_INTERVAL_MS, this::removeExpired);
     }
 
-    /** Tells the end once: the answer, or {@code TIMEOUT} when its time is up; the amount may be added later still. */
+    /**
+     * Adds an amount to the total of a name. Reports the result exactly once: the new total or an error, such as {@code
+     * TIMEOUT} when the timeout has passed; the amount may still be added after that.
+     */
     void call(
             String name,
             double amount,
@@ -119,7 +124,7 @@
         queue.scheduleAfter(SWEEP_INTERVAL_MS, this::removeExpired);
     }
 
-    /** Calls in its line are lost with a change of how it serves. */
+    /** Changes how the counter serves. Calls that are queued at that time are lost. */
     void setMode(Mode newMode) {
         mode = newMode;
         generation++;
--- a/src/main/java/deckfall/scale/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /**
- * Stands in for discovery and the agents beside the gateways: the whole list at first, then changes, each told with
- * a delay of its own to each gateway and in order. What changes while it can't be reached is told at its return.
+ * Simulates discovery and the agents beside the gateways. Each gateway first gets the full list of hosts and then the
+ * changes in order, each after a delay of its own. Changes during an outage are delivered when it ends.
  */
 final class SimulatedDiscovery {
-    /** What a gateway hears. */
+    /** Receives the lists of hosts for one gateway. */
     interface Listener {
         void hostsUpdated(HostListKind kind, List<Host> hosts);
     }
@@ -20,13 +20,13 @@
     private static final class Agent {
         Listener listener;
         double nextDeliveryMs;
-        int deliveredVersion; // version
+        int deliveredVersion; // number of changes delivered so far
     }
 
     private final EventQueue queue;
     private final SimulationOptions options;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final List<List<Host>> changes = new ArrayList<>(); // by version
+    private final List<List<Host>> changes = new ArrayList<>(); // indexed by version
     private final Agent[] agents;
     private final boolean[] unreachable;
     private long listsDelivered;
@@ -38,12 +38,15 @@
         unreachable = new boolean[options.gateways];
     }
 
-    /** Before anything is told. */
+    /** Adds a host to the initial list, before any list is delivered. */
     void addInitialHost(Host host) {
         hosts.put(host.id(), host);
     }
 
-    /** A gateway starts: it has the whole list at once, from its agent or, where that is silent, as it was started. */
+    /**
+     * Registers a gateway that starts. It gets the full list at once: from its agent or, if that is unreachable, as the
+     * cached list that it was started with.
+     */
     void watch(int gateway, Listener listener) {
         Agent agent = new Agent();
         agent.listener = listener;
@@ -54,6 +57,7 @@
         queue.scheduleAfter(0, () -> listener.hostsUpdated(kind, allHosts));
     }
 
+    /** Changes the list; each gateway gets the change after its delay. */
     void publish(List<Host> changedHosts) {
         for (Host host : changedHosts) {
             hosts.put(host.id(), host);
@@ -89,6 +93,7 @@
         agent.listener.hostsUpdated(HostListKind.CHANGES, newHosts);
     }
 
+    /** Starts or ends an outage of discovery for one gateway. */
     void setUnreachable(int gateway, boolean unreachableNow) {
         unreachable[gateway] = unreachableNow;
         if (!unreachableNow) {
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -16,13 +16,14 @@
 import java.util.Map;
 
 /**
- * One process of a gateway without its sockets: the real decision module, whose actions go to the stand-ins once it
- * has returned, so that its processor time is its own. It keeps what the program round the module promises: attempts
- * end at a request's deadline, and a late answer to a counter call is not told.
+ * One process of a gateway without its sockets: the real decision module, whose actions are executed on the simulated
+ * services once it has returned, so that its measured time contains nothing else. It keeps the guarantees that the
+ * surrounding program gives to the module: attempts end at the deadline of their request, and a late answer to a
+ * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
-    private static final int MAX_OPEN_CALLS = 256; // of the program's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // after which that connection is given up
+    private static final int MAX_OPEN_CALLS = 256; // limit of the program's connection to the counter
+    private static final double STUCK_CONNECTION_MS = 5000; // after which the program abandons that connection
     private static final double[] NO_LOAD_REPORT = new double[0];
 
     private enum EventKind {
@@ -68,7 +69,7 @@
         return decisionNanos;
     }
 
-    /** Tells the module of an event and then does what it wants. */
+    /** Passes an event to the decision module, then executes the actions that it requested. */
     private void deliver(EventKind kind, ClientRequest request, Runnable event) {
         if (!alive) {
             return;
@@ -88,7 +89,7 @@
         pendingCalls.clear();
     }
 
-    /** Serves beside a process of the same gateway from now on, whose memory it takes over. */
+    /** Takes over the state of another process of the same gateway, next to which it serves from now on. */
     void takeOver(SimulatedGateway predecessor) {
         deliver(
                 EventKind.OTHER,
@@ -177,7 +178,7 @@
         }
     }
 
-    /** Its process ends: clients see their connections reset. */
+    /** Ends the process: clients see their connections reset. */
     @Override
     void terminate() {
         if (!alive) {
@@ -258,12 +259,12 @@
 
     @Override
     public void probeHost(String host) {
-        throw new IllegalStateException("probes are not allowed here");
+        throw new IllegalStateException("the simulation does not support probes");
     }
 
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
-        throw new IllegalStateException("peers are not allowed here");
+        throw new IllegalStateException("the simulation does not support peer messages");
     }
 
     @Override
--- a/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
+++ b/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
@@ -1,6 +1,9 @@
 package deckfall.scale;
 
-/** Stands in for the front: it passes over gateways that it sees down, which it does only after some seconds. */
+/**
+ * Simulates the load balancer in front of the gateways. It skips gateways that it knows to be down, which it detects
+ * only after some seconds.
+ */
 final class SimulatedLoadBalancer {
     static final double FAILURE_DETECTION_MS = 3000;
 
@@ -12,12 +15,15 @@
         this.knownDown = new boolean[fleet.options.gateways];
     }
 
-    /** It looks at a gateway now. */
+    /** Checks now whether a gateway is up. */
     void checkHealth(int gateway) {
         knownDown[gateway] = !fleet.gateways[gateway].alive();
     }
 
-    /** The gateway that a try for another one goes to: the next of the set that is seen up, or that one itself. */
+    /**
+     * Chooses the gateway for a request: its own or, if that is known to be down, the next of the customer's set that
+     * is not. If all of the set are down, its own.
+     */
     int gatewayFor(ClientRequest request) {
         int spread = fleet.customers.spread();
         int gateways = knownDown.length;
--- a/src/main/java/deckfall/scale/SimulatedMeter.java
+++ b/src/main/java/deckfall/scale/SimulatedMeter.java
@@ -2,14 +2,14 @@
 
 import deckfall.Gateway.Plan;
 
-/** Stands in for the meter: a customer's use in the last finished period that has been added up, in percent. */
+/** Simulates the meter: it reports a customer's use in the last period that has been evaluated, in percent. */
 final class SimulatedMeter {
     private final Customers customers;
     private final double periodMs;
     private final double delayMs;
-    private final int keptPeriods; // periods
+    private final int keptPeriods;
     private final float[] usedUnits;
-    private final int[] usedPeriods; // 1 + the period that the figure beside it is of
+    private final int[] usedPeriods; // 1 + the period that the same entry of usedUnits belongs to
 
     SimulatedMeter(Customers customers, double periodMs, double delayMs) {
         this.customers = customers;
@@ -31,7 +31,7 @@
         usedPeriods[index] = period + 1;
     }
 
-    /** 1 + percent of the rate; 0 before the first period's figure. */
+    /** 1 + the use in percent of the plan's rate; 0 before the first period is evaluated. */
     int reading(int customer, double nowMs) {
         int period = (int) Math.floor((nowMs - delayMs) / periodMs) - 1;
         Plan plan = customers.plan(customer);
--- a/src/main/java/deckfall/scale/SimulatedServer.java
+++ b/src/main/java/deckfall/scale/SimulatedServer.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stands in for a seat server: slots for requests in work, a line before them, service times by chance, slower while
- * it is cold. It may drain, die, vanish from the network or take work and answer nothing.
+ * Simulates a seat server: slots for concurrent requests, a queue in front of them, and random service times, which are
+ * longer while the server is cold. It can drain, terminate, become unreachable, or hang, which means that it accepts
+ * work and answers nothing.
  */
 final class SimulatedServer {
     enum State {
@@ -21,7 +22,7 @@
         UNREACHABLE
     }
 
-    /** A copy of a request that came whole, and who waits for its end. */
+    /** An attempt that has arrived completely, with the callback for its end. */
     private record Work(ClientRequest.Attempt attempt, Consumer<Outcome> onEnd) {}
 
     final int index;
@@ -50,6 +51,7 @@
         return state;
     }
 
+    /** The server as discovery lists it. */
     Host toHost() {
         HostState hostState = switch (state) {
             case DRAINING -> HostState.DRAINING;
@@ -66,17 +68,17 @@
     void setHanging(boolean hanging) {
         state = hanging ? State.HANGING : State.SERVING;
         if (!hanging) {
-            endAllWork(Outcome.RESET); // as the process is started anew
+            endAllWork(Outcome.RESET); // the process is restarted
         }
     }
 
-    /** Its process ends: connections are reset, new ones are refused. */
+    /** Ends the process: connections are reset, new ones are refused. */
     void terminate() {
         state = State.TERMINATED;
         endAllWork(Outcome.RESET);
     }
 
-    /** Its machine is gone from the network: nothing more is heard of what it holds. */
+    /** Takes the machine off the network: the work that it holds gets no answer. */
     void becomeUnreachable() {
         state = State.UNREACHABLE;
         generation++;
@@ -84,7 +86,7 @@
         activeWork.clear();
     }
 
-    /** Back with the same id, cold. */
+    /** Brings the server back, cold and with the same id. */
     void restart() {
         state = State.SERVING;
         startedMs = queue.now();
@@ -99,7 +101,7 @@
         endedWork.forEach(work -> work.onEnd.accept(outcome));
     }
 
-    /** A copy has come whole. */
+    /** Called when an attempt has arrived completely. */
     void accept(ClientRequest.Attempt attempt, Consumer<Outcome> onEnd) {
         Work work = new Work(attempt, onEnd);
         if (state == State.HANGING) {
@@ -128,6 +130,7 @@
         });
     }
 
+    /** The share of the full capacity, which grows linearly during the warm-up. */
     private double capacity() {
         double warmShare = startedMs <= 0 ? 1 : Math.min(1, (queue.now() - startedMs) / options.serverWarmUpMs);
         return options.coldCapacity + (1 - options.coldCapacity) * warmShare;
@@ -138,7 +141,7 @@
         work.onEnd.accept(Outcome.OK);
         while (!queuedWork.isEmpty() && activeWork.size() < options.slots()) {
             Work next = queuedWork.poll();
-            if (!next.attempt.ended) { // else it is over already
+            if (!next.attempt.ended) { // skips attempts that have already ended
                 startWork(next);
             }
         }
--- a/src/main/java/deckfall/scale/SimulatedServerHandler.java
+++ b/src/main/java/deckfall/scale/SimulatedServerHandler.java
@@ -13,15 +13,15 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** A seat server's address: requests of real gateways, and those that the run makes itself beside them. */
+/** Serves the address of a seat server: requests of real gateways, and those that the run sends there directly. */
 @Sharable
 final class SimulatedServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String TRACE_ID_HEADER = "X-Trace-Id";
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
 
-    /** Who knows what a trace id stands for. */
+    /** Receives the requests and knows them by their trace ids. */
     interface RequestReceiver {
-        /** A request has come whole; its answer is written with {@link #answer}. */
+        /** Called when a request has arrived completely; its response is written with {@link #respond}. */
         void requestReceived(String id, SimulatedServer server, ChannelHandlerContext context);
     }
 
@@ -43,7 +43,7 @@
         ctx.close();
     }
 
-    /** {@code usedPct} is the meter's figure with 1 added, or 0. */
+    /** Writes a response; {@code meterReading} is the meter's percentage with 1 added, 0 for none. */
     static void respond(ChannelHandlerContext context, Outcome outcome, int meterReading) {
         boolean refused = outcome == Outcome.FULL;
         HttpResponseStatus status = switch (outcome) {
--- a/src/main/java/deckfall/scale/TokenBuckets.java
+++ b/src/main/java/deckfall/scale/TokenBuckets.java
@@ -2,7 +2,9 @@
 
 import deckfall.Gateway.Plan;
 
-/** The token buckets of all customers: each starts full, fills at its plan's rate and holds the plan's burst at most. */
+/**
+ * The token buckets of all customers: each starts full, refills at its plan's rate and holds at most the plan's burst.
+ */
 final class TokenBuckets {
     private final Customers customers;
     private final double[] tokens;
@@ -17,7 +19,7 @@
         }
     }
 
-    /** The units that a customer's store holds now. */
+    /** The units that a customer's bucket holds now. */
     double tokensAt(int customer, double nowMs) {
         Plan plan = customers.plan(customer);
         double refill = plan.rate() * (nowMs - refilledAtMs[customer]) / 1000;
@@ -26,7 +28,7 @@
         return tokens[customer];
     }
 
-    /** Takes units where the store holds them, and nothing otherwise; whether it did. */
+    /** Takes the units if the bucket holds them, and nothing otherwise. Returns whether it took them. */
     boolean tryTake(int customer, double units, double nowMs) {
         boolean available = tokensAt(customer, nowMs) >= units;
         tokens[customer] -= available ? units : 0;
