--- a/src/main/java/deckfall/scale/AdmissionPolicy.java
+++ b/src/main/java/deckfall/scale/AdmissionPolicy.java
@@ -2,15 +2,15 @@
 
 import java.util.OptionalDouble;
 
-/** Who decides on a try's quota before it comes to a gateway. */
+/** Decides on a request's quota before the request reaches a gateway. */
 interface AdmissionPolicy {
-    /** The decision module of each gateway, by what it knows itself. */
+    /** Leaves the decision to the decision module of each gateway, which has its own view of the quotas. */
     AdmissionPolicy DECIDED_BY_GATEWAYS = request -> OptionalDouble.empty();
 
-    /** The time to come back of a try that is refused here, in milliseconds; empty where it goes on to its gateway. */
+    /** Returns the retry delay in milliseconds if the request is refused; empty if it goes on to its gateway. */
     OptionalDouble refusalRetryAfterMs(ClientRequest request);
 
-    /** Whether gateways are told of no quotas, since these are decided here. */
+    /** Whether the gateways get plans without quotas because this policy enforces the quotas. */
     default boolean replacesGatewayQuotas() {
         return this != DECIDED_BY_GATEWAYS;
     }
--- a/src/main/java/deckfall/scale/ControlTraffic.java
+++ b/src/main/java/deckfall/scale/ControlTraffic.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts the bytes and messages of one gateway's control connections, both ways. */
+/** Counts the bytes and messages of one gateway's control connections in both directions. */
 @Sharable
 final class ControlTraffic extends ChannelDuplexHandler {
     private long bytes;
--- a/src/main/java/deckfall/scale/EventQueue.java
+++ b/src/main/java/deckfall/scale/EventQueue.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The one clock of a run: events in order of time, and of their scheduling where times are equal, so that the same
- * arguments give the same run. A heap over plain arrays, since a run holds millions of events.
+ * The virtual clock of a run with its events. Events run in order of time, and in scheduling order where times are
+ * equal, so that the same arguments give the same run. The heap uses plain arrays because a run holds millions of
+ * events.
  */
 final class EventQueue {
     private static final int INITIAL_CAPACITY = 1 << 12;
@@ -20,7 +21,7 @@
         return nowMs;
     }
 
-    /** Runs an event at a time; one in the past runs next. */
+    /** Schedules an event; one with a time in the past runs next, at the current time. */
     void scheduleAt(double timeMs, Runnable event) {
         if (size == timesMs.length) {
             timesMs = Arrays.copyOf(timesMs, 2 * size);
@@ -34,7 +35,7 @@
         scheduleAt(nowMs + delayMs, event);
     }
 
-    /** Runs all that is due up to a time, which is the time of now then. */
+    /** Runs all events that are due up to the given time and sets the clock to it. */
     void runUntil(double endMs) {
         while (size > 0 && timesMs[0] <= endMs) {
             nowMs = timesMs[0];
--- a/src/main/java/deckfall/scale/Fault.java
+++ b/src/main/java/deckfall/scale/Fault.java
@@ -3,12 +3,15 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** One fault of a schedule: when after the warm-up, what, for how long, and how much of it. */
+/** A scheduled fault: its start in seconds after the warm-up, its kind, its duration in seconds and its size. */
 record Fault(double atSeconds, Kind kind, double durationSeconds, double size) {
     private static final double MAX_SECONDS = 100_000;
     private static final double MAX_SIZE = 1e6;
 
-    /** What may go wrong, and the size where none is given: servers, gateways, racks, a zone, or times as slow. */
+    /**
+     * The kinds of faults, each with its default size: a number of servers, gateways or racks, the number of a zone, or
+     * a slowdown factor. Options use these names, in lower case and with hyphens.
+     */
     enum Kind {
         SERVER_REPLACED(20),
         SERVER_HANGING(1),
@@ -47,13 +50,13 @@
         return (int) size;
     }
 
-    /** As in the arguments, so that a line of results can be repeated. */
+    /** The form of the command line, so that the run of a report can be repeated. */
     @Override
     public String toString() {
         return atSeconds + ":" + kind.optionValue() + ":" + durationSeconds + ":" + size;
     }
 
-    /** Reads AT:KIND:LENGTH[:SIZE]. */
+    /** Parses AT:KIND:LENGTH[:SIZE]. */
     static final class Converter implements ITypeConverter<Fault> {
         @Override
         public Fault convert(String text) {
@@ -75,7 +78,7 @@
                     return kind;
                 }
             }
-            throw new TypeConversionException("no fault is called '" + text + "'");
+            throw new TypeConversionException("unknown kind of fault: '" + text + "'");
         }
 
         private static double parseNumber(String text, double max) {
@@ -85,9 +88,9 @@
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // said below
+                // reported below
             }
-            throw new TypeConversionException("'" + text + "' is no number from 0 to " + (long) max);
+            throw new TypeConversionException("'" + text + "' is not a number from 0 to " + (long) max);
         }
     }
 }
--- a/src/main/java/deckfall/scale/FaultInjector.java
+++ b/src/main/java/deckfall/scale/FaultInjector.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Brings the faults of a schedule about, and mends each when its time is up. */
+/** Injects the scheduled faults into the fleet and ends each one after its duration. */
 final class FaultInjector {
-    private static final double SERVER_DRAIN_MS = 2000; // of a server, before its process ends
-    private static final double DISCOVERY_DETECTION_MS = 3000; // until discovery tells of machines that are gone
-    private static final double COUNTER_FAILOVER_MS = 5000; // until the counter of a lost zone is back elsewhere
-    private static final double PROCESS_OVERLAP_MS = 500; // of two processes of a gateway, beside its requests' time
+    private static final double SERVER_DRAIN_MS = 2000; // from the start of a server's drain until its process ends
+    private static final double DISCOVERY_DETECTION_MS = 3000; // until discovery reports lost machines as gone
+    private static final double COUNTER_FAILOVER_MS = 5000; // until the counter of a lost zone serves from another zone
+    private static final double PROCESS_OVERLAP_MS = 500; // of two gateway processes, on top of the request deadline
 
     private final Fleet fleet;
     private final EventQueue queue;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** {@code i} of {@code count} things that are chosen evenly among {@code all}. */
+    /** The index of item {@code i} of {@code count} items that are spaced evenly over {@code total}. */
     private static int evenlySpaced(int i, int count, int total) {
         return (int) ((long) i * total / count);
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Their machines say nothing any more, and are back with a cold start. */
+    /** Takes the machines of the selected servers off the network; they come back with a cold start. */
     private void takeDown(Fault fault, Predicate<SimulatedServer> selected) {
         fleet.statistics.serversChanged();
         List<SimulatedServer> lost = new ArrayList<>(fleet.servers);
@@ -110,7 +110,10 @@
         });
     }
 
-    /** On a new machine, which remembers nothing, or in a release beside the old process, of which it learns. */
+    /**
+     * Replaces gateways: on a new machine without any state or, in a release, next to the old process, whose state the
+     * new process takes over.
+     */
     private void replaceGateways(Fault fault) {
         boolean release = fault.kind() == Fault.Kind.RELEASE;
         int gatewayCount = fleet.options.gateways;
@@ -159,7 +162,9 @@
         }
     }
 
-    /** Discovery and the counter are on one side alone. */
+    /**
+     * Partitions the network between the regions; discovery and the counter can be reached from their own region only.
+     */
     private void partitionRegions(Fault fault) {
         int servicesRegion = fleet.topology.regionOf(Fleet.SERVICES_ZONE);
         fleet.topology.setPartitioned(true);
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 import java.util.function.ObjDoubleConsumer;
 
-/** All gateways, servers and services of a run, and what passes between them. */
+/** All gateways, servers and services of a run, and the messages between them. */
 final class Fleet {
     private static final int MAX_ATTEMPTS = 3;
     private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final int ONCE_CLASS_INTERVAL = 3; // of the classes, one that may not be repeated
+    private static final int ONCE_CLASS_INTERVAL = 3; // one class in so many must not be repeated
     private static final double MAX_RETRY_AFTER_MS = 500;
-    static final int SERVICES_ZONE = 0; // where discovery and the counter stand
-    private static final int SERVERS_PER_RACK = 20; // servers of one zone
+    static final int SERVICES_ZONE = 0; // zone of discovery and the counter
+    private static final int SERVERS_PER_RACK = 20; // all in one zone
 
     final EventQueue queue = new EventQueue();
     final SimulationOptions options;
@@ -32,19 +32,22 @@
     final RunStatistics statistics;
     final NetworkTopology topology;
     final SimulatedDiscovery discovery;
-    final SimulatedCounter counter; // null: none
+    final SimulatedCounter counter; // null if there is none
     final List<SimulatedServer> servers = new ArrayList<>();
     final FleetGateway[] gateways;
     final SimulatedLoadBalancer loadBalancer;
     private final SimulatedClients clients;
     private final SimulatedMeter meter;
-    private final Map<String, SimulatedServer> serversById = new HashMap<>(); // for look-ups alone
+    private final Map<String, SimulatedServer> serversById = new HashMap<>(); // for lookups only
     private final List<RequestClass> classes = new ArrayList<>();
     private AdmissionPolicy admissionPolicy = AdmissionPolicy.DECIDED_BY_GATEWAYS;
     private int gatewaysStarted;
     private long endedProcessesNanos;
 
-    /** With some gateways that are not hollow, which whoever makes it puts into the first places, and some hollow. */
+    /**
+     * Creates a fleet with simulated gateways behind the places of the real ones. The caller puts the real gateways
+     * into the first places of {@code gateways}.
+     */
     Fleet(SimulationOptions options, int realGateways, int simulatedGateways) {
         this.options = options;
         customers = new Customers(options);
@@ -80,7 +83,7 @@
             discovery.addInitialHost(addServer(topology.zoneOf(i), rackOf(i), 0).toHost());
         }
         for (int gateway = realGateways; gateway < realGateways + simulatedGateways; gateway++) {
-            int number = gateway; // none in step with another: their beats would meet at the counter
+            int number = gateway; // staggered, since periodic calls in step would collide at the counter
             double startAtMs = HashRandom.uniformBetween(
                     0, SimulationOptions.STARTUP_MS, HashRandom.mix(options.seed, number), -1);
             queue.scheduleAt(startAtMs, () -> startGateway(number));
@@ -98,7 +101,7 @@
         return server;
     }
 
-    /** A new process of a gateway, to which new tries go. */
+    /** Starts a new process of a gateway, which gets all new requests. */
     SimulatedGateway startGateway(int number) {
         int zone = topology.zoneOf(number);
         SimulatedGateway gateway =
@@ -145,7 +148,7 @@
 
     private void arrive(ClientRequest request) {
         if (gateways[request.gateway] == null) {
-            return; // no part of this run, nor are its clients
+            return; // neither the gateway nor its clients are part of this run
         }
         statistics.requestArrived(request);
         if (request.retryNumber == 0) {
@@ -163,12 +166,12 @@
                         () -> gateways[request.gateway].handleRequest(request));
     }
 
-    /** Who decides on quotas in place of the gateways; before any of them starts. */
+    /** Sets a policy that decides on quotas in place of the gateways. To be called before any of them starts. */
     void setAdmissionPolicy(AdmissionPolicy policy) {
         admissionPolicy = policy;
     }
 
-    /** A try has its final answer. */
+    /** Called when a request has its final answer. */
     void requestEnded(ClientRequest request, RunStatistics.RequestOutcome outcome, double retryAfterMs) {
         statistics.requestEnded(request, outcome, queue.now());
         if (outcome == RunStatistics.RequestOutcome.REFUSED) {
@@ -197,10 +200,10 @@
         }
     }
 
-    /** An attempt comes whole to a server. */
+    /** Called when an attempt has arrived completely at a server. */
     void deliverAttempt(ClientRequest.Attempt attempt, SimulatedServer server, double latencyMs) {
         if (server.state() == SimulatedServer.State.UNREACHABLE) {
-            return; // nothing comes back
+            return; // there is no response
         }
         if (server.state() == SimulatedServer.State.TERMINATED) {
             queue.scheduleAfter(latencyMs, () -> attempt.gateway.attemptEnded(attempt, Outcome.CONNECT_FAILED, 0));
@@ -230,7 +233,7 @@
         counter.call(name, amount, lifetimeMs, timeoutMs, topology.canReach(gateway.zone, SERVICES_ZONE), onResult);
     }
 
-    // ---- figures over all processes
+    // ---- totals over all processes
 
     long decisionNanos() {
         long sum = 0;
@@ -248,7 +251,7 @@
         endedProcessesNanos += gateway.decisionNanos();
     }
 
-    /** What discovery now tells of the servers. */
+    /** Publishes the current state of these servers through discovery. */
     void serversChanged(List<SimulatedServer> changedServers) {
         List<Host> hosts = new ArrayList<>();
         changedServers.forEach(server -> hosts.add(server.toHost()));
--- a/src/main/java/deckfall/scale/FleetGateway.java
+++ b/src/main/java/deckfall/scale/FleetGateway.java
@@ -2,7 +2,7 @@
 
 import deckfall.Gateway.Outcome;
 
-/** A gateway of the fleet as clients, servers and the front meet it, whether it is hollow or a real process. */
+/** A gateway of the fleet as clients, servers and the load balancer see it: simulated or a real process. */
 abstract class FleetGateway {
     final int number;
     final int zone;
@@ -14,14 +14,15 @@
 
     abstract boolean alive();
 
-    /** A client's request has come whole. */
+    /** Called when a client's request has arrived completely. */
     abstract void handleRequest(ClientRequest request);
 
-    /** An attempt has ended; {@code usedPct} is what the meter told with it, 0 where it told nothing. */
+    /** Called when an attempt has ended; {@code meterReading} came with its answer, 0 if there was none. */
     abstract void attemptEnded(ClientRequest.Attempt attempt, Outcome outcome, int meterReading);
 
+    /** Ends the process. */
     abstract void terminate();
 
-    /** The time that its decision module took, where that is timed. */
+    /** The time spent in the decision module, in nanoseconds; 0 where that is not measured. */
     abstract long decisionNanos();
 }
--- a/src/main/java/deckfall/scale/GatewayProcess.java
+++ b/src/main/java/deckfall/scale/GatewayProcess.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** One real gateway's process, started as the platform does; it ends with the run in any case. */
+/** The process of a real gateway, started in the way the platform does. It ends with the run in any case. */
 final class GatewayProcess {
-    private static final long STOP_TIMEOUT_SECONDS = 5; // after SIGTERM; then it is killed
+    private static final long STOP_TIMEOUT_SECONDS = 5; // after SIGTERM; then the process is killed
     private static final String RESIDENT_MEMORY_KEY = "VmRSS:";
 
     private final Process process;
@@ -56,7 +56,7 @@
                 }
             }
         } catch (IOException e) {
-            return 0; // no such figures on this system, or the process has ended
+            return 0; // this system has no such file, or the process has ended
         }
         return 0;
     }
@@ -65,7 +65,7 @@
         process.destroy();
     }
 
-    /** Whether it has ended in order, that is by itself after SIGTERM. */
+    /** Waits for the process to end and kills it if it does not. Returns whether it exited by itself after SIGTERM. */
     boolean awaitExit() {
         boolean exitedCleanly = false;
         try {
@@ -85,7 +85,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // the run itself is ending
+            // the JVM of the run is already shutting down
         }
         return exitedCleanly;
     }
--- a/src/main/java/deckfall/scale/HttpConnectionPool.java
+++ b/src/main/java/deckfall/scale/HttpConnectionPool.java
@@ -17,7 +17,7 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** A client's connections to one address: one request at a time on each, and more where all are busy. */
+/** A client's connections to one address. Each carries one request at a time; a new one is opened if all are busy. */
 final class HttpConnectionPool {
     private static final int MAX_BODY_BYTES = 1 << 20;
 
@@ -30,7 +30,7 @@
         this.address = address;
     }
 
-    /** Tells the answer, which is released afterwards, or null where none came. */
+    /** Sends a request. The callback gets the response, which is released afterwards, or null if there was none. */
     void send(FullHttpRequest request, Consumer<FullHttpResponse> onResponse) {
         Connection idleConnection = idle.pollLast();
         if (idleConnection != null) {
--- a/src/main/java/deckfall/scale/LoopbackListeners.java
+++ b/src/main/java/deckfall/scale/LoopbackListeners.java
@@ -12,13 +12,13 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens the stand-ins' listeners, on loopback and on ports that the system chooses. */
+/** Opens the listeners of the simulated services, on the loopback address and on ports that the system chooses. */
 final class LoopbackListeners {
-    private static final int ACCEPT_BACKLOG = 256; // connections not taken up yet
+    private static final int ACCEPT_BACKLOG = 256; // connections not yet accepted
 
     private LoopbackListeners() {}
 
-    /** The address; called from outside the thread of the sockets. */
+    /** Opens a listener and returns its address. Must not be called on the event loop, since it blocks. */
     static InetSocketAddress open(EventLoopGroup group, Supplier<ChannelHandler[]> handlers) {
         Channel listener = new ServerBootstrap()
                 .group(group)
--- a/src/main/java/deckfall/scale/PairedLatencies.java
+++ b/src/main/java/deckfall/scale/PairedLatencies.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Times of requests through real gateways beside those of their twins, which went to a seat server directly. */
+/**
+ * Latencies of requests through real gateways, each paired with that of an equal request sent to a seat server
+ * directly.
+ */
 final class PairedLatencies {
     private static final long MAX_LATENCY_US = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -12,7 +15,7 @@
     final Histogram gatewayMicros = new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     final Histogram directMicros = new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     final Histogram addedMicros =
-            new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS); // of each pair; less than nothing counts as 0
+            new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS); // per pair; negative ones count as 0
     private final Map<RunStatistics.RequestOutcome, Long> outcomes = new EnumMap<>(RunStatistics.RequestOutcome.class);
 
     void add(double gatewayMs, double directMs) {
--- a/src/main/java/deckfall/scale/PerSecondTotals.java
+++ b/src/main/java/deckfall/scale/PerSecondTotals.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What happened in each second of the measured time: how a fault shows, and how it passes. */
+/** Totals of each second of the measured period, which show the onset of a fault and the recovery from it. */
 final class PerSecondTotals {
-    /** What is added up. */
+    /** What is totalled, named in reports in lower case. */
     enum Metric {
         TRIES,
         SERVED,
--- a/src/main/java/deckfall/scale/QuotaAccounting.java
+++ b/src/main/java/deckfall/scale/QuotaAccounting.java
@@ -3,12 +3,12 @@
 import deckfall.Gateway.Plan;
 
 /**
- * The truth on quotas, which no gateway sees: each customer's store over all gateways, what was sent on beyond it,
- * and what was refused though half of it lay unused. Beside it a store that sees all first tries, which tells the
- * worth that was offered inside the quotas.
+ * The exact state of the quotas, which no gateway sees: each customer's token bucket over all gateways, the units sent
+ * beyond it, and the units refused although half of it was available. A second set of buckets takes all requests that
+ * are not retries and yields the worth that was offered within the quotas.
  */
 final class QuotaAccounting {
-    static final double WINDOW_MS = 5000; // in which a customer's excess and lack are added up
+    static final double WINDOW_MS = 5000; // in which a customer's excess and wrongly refused units are summed up
 
     private final Customers customers;
     private final PerSecondTotals perSecond;
@@ -32,13 +32,13 @@
         refusedInQuotaWindows = new WindowMaxima(customers.count());
     }
 
-    /** A client's first try, whichever gateway it goes to. */
+    /** Called for a request that is not a retry, whichever gateway it goes to. */
     void requestOffered(ClientRequest request) {
         boolean inQuota = offeredBuckets.tryTake(request.customer, request.units, request.arrivedMs);
         worthOfferedInQuota += inQuota && request.measured ? worth(request) : 0;
     }
 
-    /** A try's first attempt has come to a seat server. */
+    /** Called when the first attempt of a request has arrived at a seat server. */
     void requestReachedServer(ClientRequest request, double nowMs) {
         boolean inQuota = buckets.tryTake(request.customer, request.units, nowMs);
         perSecond.add(PerSecondTotals.Metric.UNITS_SENT, nowMs, request.units);
@@ -60,7 +60,10 @@
         return customers.plan(request.customer).valueFactor() * request.units;
     }
 
-    /** A try that was never sent on was refused: with room, where half of the store lay unused. */
+    /**
+     * Called when a request was refused without any attempt. It was within its quota if half of the bucket was
+     * available.
+     */
     void requestRefused(ClientRequest request, double nowMs) {
         Plan plan = customers.plan(request.customer);
         boolean inQuota = buckets.tokensAt(request.customer, nowMs) >= Math.max(request.units, plan.burst() / 2);
@@ -83,17 +86,17 @@
         return worthOfferedInQuota;
     }
 
-    /** What was sent on inside quotas, further tries as well. */
+    /** The worth of what was sent within the quotas, including retries. */
     double worthSentInQuota() {
         return worthSentInQuota;
     }
 
-    /** The cost of use beyond quotas as a share of the worth offered inside them. */
+    /** The cost of use beyond the quotas as a share of the worth offered within them. */
     double overQuotaCostShare() {
         return worthOfferedInQuota > 0 ? overQuotaCost / worthOfferedInQuota : 0;
     }
 
-    /** The worth sent on inside quotas as a share of the worth offered inside them by first tries. */
+    /** The worth sent within the quotas as a share of the worth offered within them, retries not counted as offers. */
     double servedWorthShare() {
         return worthOfferedInQuota > 0 ? worthSentInQuota / worthOfferedInQuota : 0;
     }
@@ -102,17 +105,17 @@
         return refusedInQuota;
     }
 
-    /** Units beyond the quota by customer, in windows of time. */
+    /** Units sent beyond the quota, by customer and window of time. */
     WindowMaxima overQuotaWindows() {
         return overQuotaWindows;
     }
 
-    /** Units refused with room by customer, in windows of time. */
+    /** Units refused within the quota, by customer and window of time. */
     WindowMaxima refusedInQuotaWindows() {
         return refusedInQuotaWindows;
     }
 
-    /** The most that each customer had of something in any window. */
+    /** The largest number of units that each customer had in any window. */
     static final class WindowMaxima {
         private final long[] windowIndex;
         private final double[] windowUnits;
@@ -147,7 +150,7 @@
             return count;
         }
 
-        /** Of the customers that had any. */
+        /** The mean over the customers that had any. */
         double mean() {
             double sum = 0;
             for (double units : maxUnits) {
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -17,18 +17,19 @@
 import java.util.Map;
 
 /**
- * A real process in the fleet: clients' requests go to it over sockets, and what it sends on comes to the stand-ins'
- * addresses. Each request is paired with one that goes to a seat server directly and takes as long there.
+ * A gateway of the fleet that is a real process: clients' requests go to it over sockets, and its attempts arrive at
+ * the addresses of the simulated servers. Each request is paired with one that goes to a seat server directly and has
+ * the same service time there.
  */
 final class RealGateway extends FleetGateway implements SimulatedServerHandler.RequestReceiver {
-    private static final double UNANSWERED_GRACE_MS = 500; // after a deadline, until a request counts as unanswered
+    private static final double UNANSWERED_GRACE_MS = 500; // after the deadline, until it counts as unanswered
     private static final byte[] BODY = "a body".getBytes(StandardCharsets.US_ASCII);
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
     private static final int STATUS_OK = 200;
     private static final String DIRECT_ID_PREFIX = "d";
 
-    /** The two times of a pair; below nothing while not known. */
+    /** The two latencies of a pair; negative while unknown. */
     private static final class LatencyPair {
         private double gatewayMs = -1;
         private double directMs = -1;
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -38,9 +38,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays a run with real processes: the fleet's one clock follows the real one, on the thread that also serves the
- * stand-ins' sockets, so that lists, counter and servers are the same for hollow gateways and real ones. First a
- * time without load, then load to warm up, then the measured time. It ends all that it started.
+ * Runs a fleet with real processes. The virtual clock of the fleet follows the real time, on the event loop that also
+ * serves the sockets of the simulated services, so that lists, counter and servers are the same for simulated and real
+ * gateways. First comes a time without load, then the warm-up under load, then the measured period. The run ends all
+ * processes that it started.
  */
 final class RealRun {
     private static final int EXIT_FAILED = 1;
@@ -52,10 +53,10 @@
     private static final int HEALTH_TIMEOUT_MS = 2000;
     private static final int STATUS_OK = 200;
 
-    /** What a real gateway is measured by. */
+    /** A real gateway with what its measurements are taken from. */
     private record MeasuredGateway(RealGateway gateway, GatewayProcess process, ControlTraffic traffic) {}
 
-    /** One member at one moment. */
+    /** The resource use of one real gateway at one time. */
     private record Sample(double cpuSeconds, double residentMegabytes, long bytes, long messages) {}
 
     private final RealOptions options;
@@ -63,7 +64,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final PairedLatencies latencies = new PairedLatencies();
     private final List<MeasuredGateway> measuredGateways = new ArrayList<>();
-    private final Map<String, InetSocketAddress> serverAddresses = new HashMap<>(); // of servers
+    private final Map<String, InetSocketAddress> serverAddresses = new HashMap<>(); // by server id
     private final Map<String, Object> costs = new LinkedHashMap<>();
     private final List<RealGateway> realGateways = new ArrayList<>();
     private Path runFolder;
@@ -75,7 +76,7 @@
         this.progress = progress;
     }
 
-    /** The exit code. */
+    /** Runs the fleet, writes the report and returns the exit code. */
     int run(PrintStream out) {
         try {
             return new Report(options, "real", measure(), costs).write(out);
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Returns once all processes have ended. */
+    /** Runs the fleet and returns it once all processes have ended. */
     Fleet measure() throws IOException, InterruptedException, ExecutionException {
         runFolder = Files.createTempDirectory("deckfall-scale");
         try {
@@ -139,7 +140,7 @@
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
         SimulatedServer directServer =
-                callOnEventLoop(() -> fleet.addServer(zone, 0, 0)); // on no list: for the direct requests alone
+                callOnEventLoop(() -> fleet.addServer(zone, 0, 0)); // not in discovery: for the direct requests only
         SimulatedServerHandler directHandler = new SimulatedServerHandler(directServer, this::requestReceived);
         RealGateway gateway = new RealGateway(
                 fleet,
@@ -156,7 +157,8 @@
             realGateways.add(gateway);
             fleet.discovery.watch(number, agent);
             fleet.queue.runUntil(
-                    SimulationOptions.STARTUP_MS); // the hollow ones start; the clock then waits for the real ones
+                    // The simulated gateways start; the clock then waits for the real ones.
+                    SimulationOptions.STARTUP_MS);
             return agent.knownHostsAsJson();
         });
         InetSocketAddress discovery = LoopbackListeners.open(group, () -> prepend(traffic, httpHandlers(agent)));
@@ -286,10 +288,10 @@
 
     private static String lastLine(Path log) throws IOException {
         List<String> lines = Files.exists(log) ? Files.readAllLines(log) : List.of();
-        return lines.isEmpty() ? "it says nothing" : lines.get(lines.size() - 1);
+        return lines.isEmpty() ? "no output" : lines.get(lines.size() - 1);
     }
 
-    // ---- the measured time
+    // ---- measurement
 
     private void runMeasurement() throws InterruptedException, ExecutionException {
         Thread.sleep((long) (1000 * options.settleSeconds));
@@ -344,12 +346,12 @@
             Thread.sleep(POLL_INTERVAL_MS);
             if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(5)) {
                 lastProgressNanos = System.nanoTime();
-                progress.printf("scale: at %.1f of %.1f s%n", pacer.now() / 1000, options.measuredUntilMs() / 1000);
+                progress.printf("scale: ran %.1f of %.1f s%n", pacer.now() / 1000, options.measuredUntilMs() / 1000);
             }
         }
     }
 
-    /** Means and largest of the processes, a second. */
+    /** Adds the means and maxima over the processes, per second. */
     private void addCosts(String phase, List<Sample> from, List<Sample> to, double seconds) {
         double[][] rates = new double[3][from.size()];
         for (int i = 0; i < from.size(); i++) {
@@ -374,7 +376,7 @@
         costs.put(name + "_ms_p99_9", histogram.getValueAtPercentile(99.9) / 1000.0);
     }
 
-    // ---- the end
+    // ---- shutdown
 
     private void shutDown() throws IOException {
         measuredGateways.forEach(measured -> measured.process.stop());
--- a/src/main/java/deckfall/scale/RealTimePacer.java
+++ b/src/main/java/deckfall/scale/RealTimePacer.java
@@ -3,7 +3,10 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Lets the one clock follow the real one, on the thread of the sockets, so that stand-ins serve both alike. */
+/**
+ * Makes the virtual clock follow the real time on the event loop of the sockets, so that the simulated services serve
+ * simulated and real gateways alike.
+ */
 final class RealTimePacer {
     private static final long TICK_MS = 1;
 
@@ -20,7 +23,7 @@
         this.queue = queue;
     }
 
-    /** From here on; called on the thread of the sockets, as all but {@link #now()}. */
+    /** Starts to follow the real time. Must be called on the event loop, as all methods but {@link #now()}. */
     void start() {
         running = true;
         startMs = queue.now();
@@ -28,7 +31,7 @@
         loop.scheduleAtFixedRate(this::catchUp, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs what is due, before anything that came over a socket is taken up. */
+    /** Runs the events that are due. To be called before a message from a socket is handled. */
     void catchUp() {
         if (!running) {
             return;
@@ -43,7 +46,7 @@
         return nowMs;
     }
 
-    /** How late the clock was at worst since this was last asked. */
+    /** Returns the largest lag of the clock since the last call, in milliseconds. */
     double takeMaxLagMs() {
         double takenMaxLagMs = maxLagMs;
         maxLagMs = 0;
--- a/src/main/java/deckfall/scale/ReferenceAdmissionPolicy.java
+++ b/src/main/java/deckfall/scale/ReferenceAdmissionPolicy.java
@@ -3,13 +3,14 @@
 import java.util.OptionalDouble;
 
 /**
- * A reference for the module's admission: one policy for the whole fleet that knows each customer's true store as it
- * was some milliseconds ago, and lets in what that store held. With no delay it sees all.
+ * A reference for the admission of the decision module: one policy for the whole fleet that knows each customer's exact
+ * token bucket as it was some milliseconds ago, and admits what that bucket held. Without a delay it has full
+ * knowledge.
  */
 final class ReferenceAdmissionPolicy implements AdmissionPolicy {
     private final EventQueue queue;
     private final Customers customers;
-    private final TokenBuckets delayedBuckets; // on a clock that is late by the delay
+    private final TokenBuckets delayedBuckets; // on a clock that lags by the delay
     private final double delayMs;
 
     ReferenceAdmissionPolicy(EventQueue queue, Customers customers, double delayMs) {
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The results of a run as a table to read and as one line of JSON. Figures follow from the arguments alone; costs
- * are those of the machine.
+ * The results of a run as a readable table and as one line of JSON. Figures follow from the arguments alone; costs
+ * depend on the machine.
  */
 final class Report {
     private static final int EXIT_FAILED = 1;
@@ -88,7 +88,7 @@
         put("lacking_units_5s_mean", quotas.refusedInQuotaWindows().mean());
     }
 
-    /** How a reference policy did on the same tries, beside the module. */
+    /** Adds the results of a reference policy on the same requests, compared with those of the decision module. */
     void addReference(String name, Fleet reference) {
         QuotaAccounting quotas = reference.quotas;
         put(name + "_over_quota_price", quotas.overQuotaCostShare());
@@ -132,10 +132,10 @@
         return whole > 0 ? part / whole : 0;
     }
 
-    /** The exit code. */
+    /** Prints the report, appends it to the JSON file if one is given, and returns the exit code. */
     int write(PrintStream out) {
-        printTable(out, runKind.equals("hollow") ? "figures, by the seed alone" : "figures of the fleet", figures);
-        printTable(out, "costs, of this machine", costs);
+        printTable(out, runKind.equals("hollow") ? "figures (from the arguments)" : "figures of the fleet", figures);
+        printTable(out, "costs (of this machine)", costs);
         return options.jsonFile == null ? 0 : appendJson();
     }
 
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -6,9 +6,12 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What is counted in a run. All but the answers to all tries is of the measured time alone. */
+/** The statistics of a run. All except the total numbers of requests and answers cover the measured period only. */
 final class RunStatistics {
-    /** How a try ended; {@code UNANSWERED} by the module until its client's time was up, which is a defect. */
+    /**
+     * How a request ended, named in reports in lower case. {@code UNANSWERED} means that the decision module did not
+     * answer it before its deadline, which is a defect.
+     */
     enum RequestOutcome {
         SERVED,
         REFUSED,
@@ -17,7 +20,7 @@
         NO_GATEWAY
     }
 
-    /** What a counter call is for. */
+    /** The purpose of a counter call, named in reports in lower case. */
     enum CallPurpose {
         READ,
         REQUESTS_WAIT,
@@ -36,9 +39,9 @@
     long totalAnswers;
     long requests;
     long firstRequests;
-    long refusedWithRetryAfter; // with a time to come back
+    long refusedWithRetryAfter;
     long attempts;
-    long crossZoneAttempts; // out of the own zone
+    long crossZoneAttempts; // to servers outside the gateway's zone
     private final int[] gatewayCallsInSecond;
     private final long[] gatewaySecond;
     private int maxGatewayCallsInSecond;
@@ -132,7 +135,7 @@
         return maxGatewayCallsInSecond;
     }
 
-    /** The servers change now: which ones each gateway uses from here on is held against those of before. */
+    /** Marks a change of the servers: those that each gateway uses from now on are compared with those used before. */
     void serversChanged() {
         for (int gateway = 0; gateway < usedServers.length; gateway++) {
             usedServersBefore[gateway].or(usedServers[gateway]);
@@ -140,7 +143,7 @@
         }
     }
 
-    /** In the mean of all gateways; since the last change of servers, where there was one. */
+    /** Mean number of servers used by a gateway, since the last change of the servers if there was one. */
     double hostsUsed() {
         return mean(usedServers);
     }
@@ -157,7 +160,7 @@
         return sum / sets.length;
     }
 
-    /** Servers of the first list that a gateway uses only since the change, in the mean; 0 without a change. */
+    /** Mean number of servers of the initial list that a gateway uses only since the change; 0 without a change. */
     double hostsNewlyUsed() {
         double sum = 0;
         for (int gateway = 0; gateway < usedServers.length; gateway++) {
--- a/src/main/java/deckfall/scale/SimulationRun.java
+++ b/src/main/java/deckfall/scale/SimulationRun.java
@@ -6,15 +6,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Plays a run: load to warm up, the measured time, the answers still due, and a while without load. */
+/**
+ * Runs a simulation: the warm-up under load, the measured period, the wait for open answers, and a time without load.
+ */
 final class SimulationRun {
-    private static final double CLOCK_STEP_MS = 100; // of the clock, between looks at the progress
-    private static final double SETTLE_MS = 2000; // after the last deadline, before the time without load
+    private static final double CLOCK_STEP_MS = 100; // virtual time between two checks of the progress
+    private static final double SETTLE_MS = 2000; // from the last deadline to the time without load
     private static final double BYTES_PER_MEGABYTE = 1 << 20;
     private static final long PROGRESS_INTERVAL_NANOS = 5_000_000_000L;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    /** What came of a run; the costs are those of the machine that it was on and differ from run to run. */
+    /** The results of a run. The costs depend on the machine and differ from run to run. */
     record Result(Fleet fleet, Map<String, Object> costs) {}
 
     private final SimulationOptions options;
@@ -32,7 +34,7 @@
         return run(new Fleet(options, 0, options.gateways));
     }
 
-    /** The same tries, let in by stores that are known as they were so many milliseconds ago. */
+    /** Runs the same requests, admitted by token buckets that are known with a delay. */
     Result runReference(double delayMs) {
         Fleet reference = new Fleet(options, 0, options.gateways);
         reference.setAdmissionPolicy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
@@ -63,8 +65,9 @@
     }
 
     /**
-     * The module's share of a core at a gateway, up to a time. It is timed by the clock on the wall, of which the
-     * thread has only a part on a machine that is busy or collects garbage: the same part of all is taken off.
+     * Runs up to a virtual time and returns the share of a core that the decision module of a gateway used. The module
+     * is timed by wall clock, but the thread gets only a part of that on a machine that is busy or collects garbage.
+     * The result is therefore scaled by the share of processor time that the thread got.
      */
     private double runAndMeasureCores(double endMs) {
         double startMs = fleet.queue.now();
@@ -85,7 +88,7 @@
             if (now - lastProgressNanos > PROGRESS_INTERVAL_NANOS) {
                 lastProgressNanos = now;
                 progress.printf(
-                        "scale: at %.1f of %.1f s, %d tries, %.0f s gone%n",
+                        "scale: simulated %.1f of %.1f s, %d requests, %.0f s elapsed%n",
                         fleet.queue.now() / 1000,
                         options.measuredUntilMs() / 1000 + options.idleSeconds,
                         fleet.statistics.totalRequests,
