--- a/src/test/java/deckfall/scale/EventQueueTest.java
+++ b/src/test/java/deckfall/scale/EventQueueTest.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The order of events. */
+/** Tests the order in which events run. */
 class EventQueueTest {
-    private static final int EVENTS = 10_000; // more than the queue's first size
+    private static final int EVENTS = 10_000; // more than the initial capacity of the queue
 
     @Test
     void eventsRunByTimeAndThenInSchedulingOrder() {
@@ -25,7 +25,7 @@
         assertEquals(EVENTS, ran.size());
         List<long[]> sorted = new ArrayList<>(ran);
         sorted.sort((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
-        assertEquals(sorted, ran); // the same arrays in the same places
+        assertEquals(sorted, ran); // the same arrays in the same order
     }
 
     @Test
--- a/src/test/java/deckfall/scale/RealRunTest.java
+++ b/src/test/java/deckfall/scale/RealRunTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** One real process among a few hollow gateways, for a moment: what is counted, never how long it took. */
+/**
+ * Short runs of one real process among a few simulated gateways. The tests check what was counted, never how long it
+ * took.
+ */
 class RealRunTest {
     private static final String SERVE_COMMAND = Path.of(System.getProperty("java.home"), "bin", "java")
             + " -XX:+UseSerialGC -cp '" + System.getProperty("java.class.path") + "' deckfall.Main serve";
@@ -70,7 +73,9 @@
         assertEquals(0L, costs.get("real_left_running"));
     }
 
-    /** What started it may live on after a signal that it does not hear: nothing of it is left all the same. */
+    /**
+     * The shell that starts the gateway ignores SIGTERM and lives on. Neither it nor the gateway may be left running.
+     */
     @Test
     void processThatIgnoresSigtermIsKilledWithItsDescendants(@TempDir Path dir) throws Exception {
         Path pidFile = dir.resolve("pid");
@@ -84,7 +89,7 @@
         assertFalse(left);
     }
 
-    /** The run fails with what the process said last, and leaves nothing behind. */
+    /** The run fails with the last line of the process's output and leaves nothing behind. */
     @Test
     void processThatCannotStartFailsTheRun() {
         RealRun run = run("echo no such gateway >&2; exit 3");
--- a/src/test/java/deckfall/scale/ScaleCommandTest.java
+++ b/src/test/java/deckfall/scale/ScaleCommandTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line of the scale runs. */
+/** Tests how the scale command rejects invalid arguments. */
 class ScaleCommandTest {
     @ParameterizedTest
     @ValueSource(
--- a/src/test/java/deckfall/scale/SimulationRunTest.java
+++ b/src/test/java/deckfall/scale/SimulationRunTest.java
@@ -14,18 +14,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** A short run of a small fleet in virtual time: what is counted, never how long it took. */
+/** Short runs of a small fleet in virtual time. The tests check what was counted, never how long it took. */
 class SimulationRunTest {
     private static final int COUNTER_RATE = 200;
     private static final int COUNTER_SHARDS = 2;
 
     private static final String[] FAULT_TEST_OPTIONS = {"--counter-rate", "20000", "--regions", "2", "--zones", "4"};
 
-    private static String[] concat(String[] first, String... more) {
+    private static String[] appendArguments(String[] first, String... more) {
         return Stream.concat(Stream.of(first), Stream.of(more)).toArray(String[]::new);
     }
 
-    private static Map<String, Object> run(String... more) {
+    private static Map<String, Object> simulate(String... more) {
         List<String> arguments = new ArrayList<>(List.of(
                 "--gateways",
                 "10",
@@ -58,14 +58,14 @@
 
     @Test
     void equalSeedsGiveEqualFiguresAndOtherSeedsDiffer() {
-        Map<String, Object> figures = run("--seed", "3");
-        assertEquals(figures, run("--seed", "3"));
-        assertTrue(count(figures, "served") != count(run("--seed", "4"), "served"));
+        Map<String, Object> figures = simulate("--seed", "3");
+        assertEquals(figures, simulate("--seed", "3"));
+        assertTrue(count(figures, "served") != count(simulate("--seed", "4"), "served"));
     }
 
     @Test
     void everyRequestHasExactlyOneAnswer() {
-        Map<String, Object> figures = run();
+        Map<String, Object> figures = simulate();
         assertTrue(count(figures, "tries") > 2500, figures.toString());
         assertEquals(count(figures, "tries_all"), count(figures, "answers_all"));
         assertEquals(
@@ -74,28 +74,28 @@
         assertEquals(0, count(figures, "unanswered") + count(figures, "no_gateway"));
     }
 
-    /** Each part may end a call of the second before, and one of the next. */
+    /** In one second each shard may also end a call of the second before, and one of the next. */
     @Test
     void counterServesNoMoreThanItsRate() {
-        Map<String, Object> figures = run();
+        Map<String, Object> figures = simulate();
         assertTrue(
                 count(figures, "calls_busy") + count(figures, "calls_timeout") > 0,
-                "never more than it bears: " + figures);
+                "the counter was never overloaded: " + figures);
         assertTrue(count(figures, "counter_served_in_second_max") <= COUNTER_RATE + COUNTER_SHARDS, figures.toString());
     }
 
-    /** Without a budget that holds for the fleet most calls have no answer in time, and quotas rest on guesses. */
+    /** Without a call budget that holds for the whole fleet, most calls time out and quotas rest on estimates. */
     @Test
     void fleetAdaptsItsCallsToTheCounterRate() {
-        Map<String, Object> figures = run("--warm-up-seconds", "5");
+        Map<String, Object> figures = simulate("--warm-up-seconds", "5");
         long calls = count(figures, "calls");
         assertTrue(calls > 0.4 * 3 * COUNTER_RATE && calls < 1.1 * 3 * COUNTER_RATE, figures.toString());
         assertTrue(5 * (count(figures, "calls_busy") + count(figures, "calls_timeout")) < calls, figures.toString());
     }
 
-    /** Sets so wide that a gateway sees a customer once in a while, and a call for every other request. */
-    private static Map<String, Object> runWithWideSets(String... more) {
-        return run(concat(
+    /** Simulates sets so wide that a gateway sees a customer only occasionally and calls for every other request. */
+    private static Map<String, Object> simulateWideSets(String... more) {
+        return simulate(appendArguments(
                 new String[] {
                     "--gateways",
                     "40",
@@ -116,7 +116,7 @@
     @ParameterizedTest
     @CsvSource({"1", "2", "3"})
     void overQuotaUseIsBoundedWhenTheCounterIsSlow(String seed) {
-        Map<String, Object> figures = runWithWideSets("--seed", seed);
+        Map<String, Object> figures = simulateWideSets("--seed", seed);
         assertTrue(((Number) figures.get("calls_per_try")).doubleValue() < 0.7, figures.toString());
         assertTrue(((Number) figures.get("over_quota_price")).doubleValue() < 0.15, figures.toString());
         assertTrue(count(figures, "served") > 1000, figures.toString());
@@ -126,10 +126,13 @@
         return ((Number) figures.get(name)).doubleValue();
     }
 
-    /** What sees all lets in hardly any beyond quotas (what waits for a server takes its units later than it sees). */
+    /**
+     * The policy with full knowledge admits hardly any units beyond the quotas. A few remain because a request that
+     * waits for a server takes its units later than the policy sees it.
+     */
     @Test
     void referencePoliciesBoundTheDecisionModule() {
-        Map<String, Object> figures = runWithWideSets("--references");
+        Map<String, Object> figures = simulateWideSets("--references");
         assertTrue(number(figures, "all_seeing_over_quota_price") < 0.02, figures.toString());
         assertTrue(number(figures, "all_seeing_served_worth_share") > 0.97, figures.toString());
         assertTrue(
@@ -144,7 +147,7 @@
                 figures.toString());
     }
 
-    /** What each fault is seen by; without one there is none of it. */
+    /** Each fault has a figure that is above 0 with it and 0 without it. */
     @ParameterizedTest
     @CsvSource({
         "server-replaced:1:3, lists_told",
@@ -161,8 +164,8 @@
         "counter-empty:1, calls_timeout"
     })
     void faultIsVisibleAndEveryRequestIsAnswered(String fault, String figureName) {
-        Map<String, Object> withoutFault = run(FAULT_TEST_OPTIONS);
-        Map<String, Object> figures = run(concat(FAULT_TEST_OPTIONS, "--fault", "0.5:" + fault));
+        Map<String, Object> withoutFault = simulate(FAULT_TEST_OPTIONS);
+        Map<String, Object> figures = simulate(appendArguments(FAULT_TEST_OPTIONS, "--fault", "0.5:" + fault));
         assertEquals(0, count(withoutFault, figureName));
         assertTrue(((Number) figures.get(figureName)).doubleValue() > 0, figures.toString());
         assertEquals(count(figures, "tries_all"), count(figures, "answers_all"));
@@ -171,26 +174,27 @@
 
     @Test
     void releaseRestartsEveryGatewayWithoutLosingRequests() {
-        Map<String, Object> figures = run("--fault", "0.5:release:1:5", "--fault", "2:gateway-replaced:0.2:3");
+        Map<String, Object> figures = simulate("--fault", "0.5:release:1:5", "--fault", "2:gateway-replaced:0.2:3");
         assertEquals(10 + 10 + 3, count(figures, "gateways_started"));
         assertEquals(0, count(figures, "no_gateway") + count(figures, "unanswered"));
         assertEquals(count(figures, "tries_all"), count(figures, "answers_all"));
     }
 
-    /** What changes while discovery is silent is told at once at its return. */
+    /** Changes during an outage of discovery are delivered in one list when it ends. */
     @Test
     void changesDuringADiscoveryOutageAreDeliveredTogether() {
         String[] replaced = {"--fault", "0.5:server-replaced:1:2", "--discovery-ms", "100"};
-        long delivered = count(run(replaced), "lists_told");
-        long deliveredAfterOutage = count(run(concat(replaced, "--fault", "0.4:discovery-down:4")), "lists_told");
-        assertEquals(4 * 10, delivered); // two starts and two ends, to each gateway
+        long delivered = count(simulate(replaced), "lists_told");
+        long deliveredAfterOutage =
+                count(simulate(appendArguments(replaced, "--fault", "0.4:discovery-down:4")), "lists_told");
+        assertEquals(4 * 10, delivered); // two starts and two ends, delivered to each gateway
         assertEquals(10, deliveredAfterOutage);
     }
 
-    /** A customer's set of one gateway sees all of its use: the module's stores and the true ones agree. */
+    /** A set of one gateway sees all of its customer's use, so that its token buckets agree with the exact ones. */
     @Test
     void oneGatewayPerCustomerEnforcesQuotasWithoutACounter() {
-        Map<String, Object> figures = run("--spread", "1", "--counter-rate", "0");
+        Map<String, Object> figures = simulate("--spread", "1", "--counter-rate", "0");
         assertEquals(0, count(figures, "calls"));
         assertTrue(count(figures, "units_beyond") * 100 < count(figures, "units_sent"), figures.toString());
         assertTrue(count(figures, "refused_with_room") * 50 < count(figures, "tries"), figures.toString());
