--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -79,26 +79,26 @@
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Bootstrap bootstrap;
     private final int maxConnections;
-    private final ClientLimits limits;
+    private final ConnectionLimits limits;
     private volatile int connections; // changed on the event loop alone
 
     HostClient(Node node) {
         this.node = node;
         this.maxConnections = most(node.config.sockets());
-        this.limits = new ClientLimits(node.config.sockets());
+        this.limits = new ConnectionLimits(node.config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(node.loop)
                 .channelFactory(RetryingSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientServer.WATER_MARK)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, ClientServer.readBuffers())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientServer.WRITE_BUFFER_WATER_MARK)
+                .option(ChannelOption.RCVBUF_ALLOCATOR, ClientServer.readBufferAllocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, node.config.connectTimeoutMs()));
         node.loop.schedule(this::closeIdle, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** The most connections to hosts, where there are so many descriptors and clients hold all that they may. */
     static int most(int sockets) {
-        int left = sockets - ClientLimits.usual(sockets) - reserve(sockets);
+        int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - reserve(sockets);
         return (int) Math.min(sockets * SOCKET_SHARE, left);
     }
 
@@ -137,12 +137,12 @@
         abstract void ended(Outcome outcome, FullHttpResponse response);
 
         /** Whose body is passed on, where the message is a head alone. */
-        Incoming upload() {
+        IncomingRequest upload() {
             return null;
         }
 
         /** An answer too long to be kept has begun; null where nobody waits for such a one. */
-        Transfer begun(HttpResponse head, Transfer.Source source) {
+        ResponseTransfer begun(HttpResponse head, ResponseTransfer.Source source) {
             return null;
         }
 
@@ -266,7 +266,7 @@
 
     /** Makes room for one more connection at the cost of one that is idle somewhere. */
     private boolean room() {
-        int most = Math.min(maxConnections, limits.mostHosts(node.clientsHeld()));
+        int most = Math.min(maxConnections, limits.maxHosts(node.clientsHeld()));
         if (held() < most) {
             return true;
         }
@@ -288,27 +288,27 @@
 
     /** The whole message where its body has come, else the head alone. */
     private HttpRequest attemptMessage(Attempt a) {
-        Incoming message = a.owner.message;
+        IncomingRequest message = a.owner.message;
         HttpRequest from = message.head;
-        HttpRequest to = message.whole()
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri, message.body())
+        HttpRequest to = message.complete()
+                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri, message.retainedBody())
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), message.uri);
         HttpHeaders h = to.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(HeaderNames.ID, a.owner.traceId);
-        h.set(HeaderNames.EXPIRES, Long.toString((long) Math.max(1, a.owner.deadlineMs - node.clock.now())));
-        String key = from.headers().get(HeaderNames.KEY);
+        h.set(HeaderNames.TRACE_ID, a.owner.traceId);
+        h.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long) Math.max(1, a.owner.deadlineMs - node.clock.now())));
+        String key = from.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (key != null) {
-            h.set(HeaderNames.KEY, key);
+            h.set(HeaderNames.IDEMPOTENCY_KEY, key);
         }
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
             h.set(HttpHeaderNames.CONTENT_TYPE, type);
         }
-        if (!message.whole() && message.declaredBytes < 0) {
+        if (!message.complete() && message.declaredBytes < 0) {
             HttpUtil.setTransferEncodingChunked(to, true);
         } else if (!from.method().equals(HttpMethod.GET) || message.hasBody()) {
-            h.set(HttpHeaderNames.CONTENT_LENGTH, message.whole() ? message.receivedBytes() : message.declaredBytes);
+            h.set(HttpHeaderNames.CONTENT_LENGTH, message.complete() ? message.receivedBytes() : message.declaredBytes);
         }
         return to;
     }
@@ -426,15 +426,16 @@
     }
 
     /** One connection to a host. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Transfer.Source, Incoming.Receiver {
+    private final class Connection extends ChannelInboundHandlerAdapter
+            implements ResponseTransfer.Source, IncomingRequest.BodyReceiver {
         private final Pool pool;
         private final StrictResponseDecoder decoder = new StrictResponseDecoder();
         private SocketChannel channel;
         private Exchange exchange;
-        private Incoming upload; // whose body is passed on here
+        private IncomingRequest upload; // whose body is passed on here
         private HttpResponse head; // of the answer that is coming
         private ByteBuf body = Unpooled.EMPTY_BUFFER; // what is kept of it
-        private Transfer transfer; // where it is no longer kept
+        private ResponseTransfer transfer; // where it is no longer kept
         private FullHttpResponse answer; // whole, until all that came with it has been read
         private boolean passedOn; // the same, where it was transferred
         private boolean surplus; // more has come than was asked for
@@ -459,14 +460,14 @@
             } else {
                 channel.write(message, channel.voidPromise());
                 upload = x.upload();
-                upload.passTo(this);
+                upload.streamTo(this);
             }
         }
 
         /** What was asked has left, or could not: also where nobody waits for the answer any more. */
         private void wrote(Exchange x, boolean all) {
             if (all && x instanceof Attempt) {
-                node.figures.dispatched();
+                node.figures.recordDispatch();
             }
             if (exchange != x) {
                 return;
@@ -479,12 +480,12 @@
         }
 
         @Override
-        public void part(ByteBuf content) {
+        public void writeBody(ByteBuf content) {
             channel.writeAndFlush(new DefaultHttpContent(content), channel.voidPromise());
         }
 
         @Override
-        public void last() {
+        public void finishBody() {
             Exchange x = exchange;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
                 if (x instanceof Attempt a) {
@@ -502,7 +503,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (upload != null) {
-                upload.resumed();
+                upload.fireAcceptsMore();
             }
         }
 
@@ -520,10 +521,10 @@
                         "its connection had been idle for " + (long) idleBeforeMs + " ms");
                 pool.closedEarly(idleBeforeMs);
             }
-            Transfer broken = transfer;
+            ResponseTransfer broken = transfer;
             transfer = null;
             if (broken != null) {
-                broken.cut();
+                broken.abort();
             }
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
         }
@@ -539,7 +540,7 @@
         }
 
         private void stopUpload() {
-            Incoming stopped = upload;
+            IncomingRequest stopped = upload;
             upload = null;
             if (stopped != null) {
                 stopped.detach(this);
@@ -556,7 +557,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            node.loopDelay.handledMs();
+            node.loopDelay.observeDelayMs();
             try {
                 HttpObject object = (HttpObject) message;
                 if (exchange == null && transfer == null || answer != null) {
@@ -615,7 +616,7 @@
                 return;
             }
             if (transfer != null) {
-                transfer.more(content.content().retain());
+                transfer.write(content.content().retain());
             } else if (bytes > 0) {
                 keep(content.content());
             }
@@ -646,7 +647,7 @@
             }
             exchange.connection = null;
             exchange = null;
-            transfer.more(takeBody());
+            transfer.write(takeBody());
             return true;
         }
 
@@ -656,10 +657,10 @@
                         head.protocolVersion(), head.status(), takeBody(), head.headers(), EmptyHttpHeaders.INSTANCE);
                 return;
             }
-            Transfer done = transfer;
+            ResponseTransfer done = transfer;
             transfer = null;
             passedOn = true;
-            done.end();
+            done.finish();
         }
 
         /**
@@ -674,7 +675,7 @@
                 transfer.flush();
             } else if (passedOn) {
                 passedOn = false;
-                read(true);
+                setReading(true);
                 keepOrClose();
             } else if (response == null) {
                 if (exchange == null && decoder.holdsBytes()) {
@@ -701,7 +702,7 @@
         }
 
         @Override
-        public void read(boolean on) {
+        public void setReading(boolean on) {
             if (channel.config().isAutoRead() != on) {
                 channel.config().setAutoRead(on);
             }
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -1,9 +1,9 @@
 package deckfall.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.order;
-import static deckfall.net.Sockets.view;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.orderRequest;
+import static deckfall.net.TestEndpoints.viewRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -12,10 +12,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import deckfall.DecisionModule;
 import deckfall.Gateway.Settings;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.Closeable;
@@ -29,60 +29,61 @@
 
 /** The end of a process: what SIGKILL would find open is lost, and it comes by the settings' longest deadline. */
 class DrainTest {
-    private static final double KILLED_MS = 700;
-    private final Deque<Closeable> ends = new ArrayDeque<>();
+    private static final double KILL_DELAY_MS = 700;
+    private final Deque<Closeable> closeables = new ArrayDeque<>();
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
+        for (Closeable c : closeables) {
             c.close();
         }
     }
 
-    private <T extends Closeable> T kept(T end) {
-        ends.push(end);
-        return end;
+    private <T extends Closeable> T closeLater(T closeable) {
+        closeables.push(closeable);
+        return closeable;
     }
 
-    private static Settings settings(int longestMs) throws Exception {
-        String config = Sockets.config("127.0.0.1:1", "127.0.0.1:0")
-                .replace("\"hard_limit_ms\": 60000}]", "\"hard_limit_ms\": " + longestMs + "}]")
+    private static Settings settings(int longestDeadlineMs) throws Exception {
+        String config = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0")
+                .replace("\"hard_limit_ms\": 60000}]", "\"hard_limit_ms\": " + longestDeadlineMs + "}]")
                 .replace("\"hard_limit_ms\": 60000", "\"hard_limit_ms\": 100");
         return NodeConfig.of(new ObjectMapper().readTree(config)).settings();
     }
 
     @Test
-    void allIsAnsweredBeforeTheKillWhateverTheDeadlines() throws Exception {
+    void allRequestsAreAnsweredBeforeTheKillForAnyDeadline() throws Exception {
         for (int longest : new int[] {100, 400, 900, 2500, 3000, 15_000}) {
-            double kill = Math.min(3000, longest) + KILLED_MS;
-            long answerBy = Drain.answerByMs(settings(longest));
+            double kill = Math.min(3000, longest) + KILL_DELAY_MS;
+            long answerBy = Drain.answerDeadlineMs(settings(longest));
             assertTrue(answerBy <= kill - 200, longest + ": " + answerBy);
             assertTrue(answerBy >= kill / 2, longest + ": " + answerBy);
-            assertTrue(Drain.acceptByMs(settings(longest)) <= Math.max(Drain.ACCEPT_ON_MS, answerBy), "" + longest);
+            assertTrue(
+                    Drain.acceptDeadlineMs(settings(longest)) <= Math.max(Drain.MIN_ACCEPT_MS, answerBy), "" + longest);
         }
-        assertEquals(3400, Drain.answerByMs(settings(15_000)));
+        assertEquals(3400, Drain.answerDeadlineMs(settings(15_000)));
     }
 
     private Node node(String... entries) throws IOException {
-        Registry registry = kept(new Registry(list(1, true, entries)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+        DiscoveryServer registry = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
+        closeables.push(node::stop);
         return node;
     }
 
     private Client client(Node node) throws IOException {
-        return kept(new Client(node));
+        return closeLater(new Client(node));
     }
 
     /** Held, out at a host that hangs, half read in its head or body, not begun: none of it stays open. */
     @Test
-    void nothingStaysOpenOnceTheTimeIsUp() throws Exception {
-        Server hangs = kept(new Server((m, s) -> {}));
-        Node node = node(entry("h0", hangs.address(), "ready"));
-        Client out = client(node).send(order("out", "b"));
-        assertNotNull(hangs.next());
+    void nothingStaysOpenAtTheDrainsEnd() throws Exception {
+        Server hangs = closeLater(new Server((m, s) -> {}));
+        Node node = node(hostEntry("h0", hangs.address(), "ready"));
+        Client out = client(node).send(orderRequest("out", "b"));
+        assertNotNull(hangs.nextRequest());
         Client half = client(node).send("GET /view/x HTT");
-        Client body = client(node).send(order("body", "whole").replace("whole", "ha"));
+        Client body = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
         Client fresh = client(node);
         Client last = client(node); // what came before is known to have been read once this one is answered
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
@@ -94,21 +95,21 @@
             assertNull(c.receive());
         }
         body.close();
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** Requests that had been sent several at once, and read, were dropped with the first answer in a drain. */
     @Test
-    void whatWasReadAheadIsAnsweredInADrain() throws Exception {
+    void pipelinedRequestsAreAnsweredInADrain() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server host = kept(new Server((m, s) -> {
-            assertTrue(go.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            s.getOutputStream().write(Sockets.ok(m.header("X-Trace-Id")));
+        Server host = closeLater(new Server((m, s) -> {
+            assertTrue(go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            s.getOutputStream().write(TestEndpoints.okResponse(m.header("X-Trace-Id")));
         }));
-        Node node = node(entry("h0", host.address(), "ready"));
-        int ms = Sockets.PATIENCE_MS;
-        Client c = client(node).send(view("one", ms) + view("two", ms) + view("three", ms));
-        assertNotNull(host.next());
+        Node node = node(hostEntry("h0", host.address(), "ready"));
+        int ms = TestEndpoints.TIMEOUT_MS;
+        Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
+        assertNotNull(host.nextRequest());
         node.operations().quiesce();
         go.countDown();
         assertEquals("one", c.receive().text());
@@ -120,13 +121,14 @@
 
     /** A request that had come, and that the loop had not read yet, was reset with its idle connection. */
     @Test
-    void whatHasComeByTheDrainsEndIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredAtTheDrainsEnd() throws Exception {
         Node node = node();
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop
                 .submit(() -> {
-                    known.send(view("v", Sockets.PATIENCE_MS)); // in a turn of the loop, which can't read meanwhile
+                    known.send(viewRequest(
+                            "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
                     node.drain();
                     node.answerAll();
                     return null;
@@ -137,19 +139,19 @@
 
     /** Answers that the system had not taken yet were lost with their idle connection. */
     @Test
-    void answersThatWaitToBeWrittenOutliveTheDrainsEnd() throws Exception {
+    void unwrittenResponsesSurviveTheDrainsEnd() throws Exception {
         int count = 150; // more than the system's buffers hold for a client that does not read
         String body = "x".repeat(60_000);
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(Sockets.ok(body))));
-        Node node = node(entry("h0", host.address(), "ready"));
+        Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse(body))));
+        Node node = node(hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < count; i++) {
-            c.send(view("v" + i, Sockets.PATIENCE_MS));
+            c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS));
         }
         for (int i = 0; i < count; i++) {
-            assertNotNull(host.next());
+            assertNotNull(host.nextRequest());
         }
-        while (node.figures.open() > 0) {
+        while (node.figures.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
         }
         node.loop
@@ -164,48 +166,52 @@
     }
 
     @Test
-    void whatIsHeldAtTheEndAndWasNeverSentIsRefused() throws Exception {
+    void queuedRequestIsRefusedAtTheDrainsEnd() throws Exception {
         Node node = node();
-        Client held = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Client held = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::answerAll).sync();
         assertEquals(503, held.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** In a drain that has gone on for long, whoever comes newly still has time to ask. */
     @Test
-    void aDrainOfAnyAgeLeavesANewConnectionTimeToAsk() throws Exception {
-        Server host = kept(new Server((m, s) -> s.getOutputStream().write(Sockets.ok("x"))));
-        Registry registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Hand clock = new Hand();
-        clock.stands = true;
+    void newConnectionHasTimeToSendARequestLateInADrain() throws Exception {
+        Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
+        DiscoveryServer registry =
+                closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
+        ManualClock clock = new ManualClock();
+        clock.frozen = true;
         Node node = new Node(
-                NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
+                NodeConfig.of(
+                        new ObjectMapper().readTree(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionModule::new,
                 clock);
-        ends.push(node::stop);
+        closeables.push(node::stop);
         node.start();
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.operations().quiesce();
         node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
-        clock.aheadMs = 10_000;
+        clock.offsetMs = 10_000;
         assertNull(idle.receive()); // from here on there is a sweep every 50 ms
         Client c = client(node);
         node.loop.schedule(() -> {}, 150, TimeUnit.MILLISECONDS).sync();
-        assertEquals(200, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(
+                200,
+                c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
     /** The listener's end is timed next: were the sweep timed in a later turn, a slow loop would close that first. */
     @Test
-    void theFirstSweepIsTimedInTheTurnThatBegins() throws Exception {
+    void firstSweepIsScheduledBeforeBeginReturns() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
-        ends.push(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
+        closeables.push(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Drain drain = new Drain(loop, new Hand(), null);
+        Drain drain = new Drain(loop, new ManualClock(), null);
         assertTrue(loop.submit(() -> {
                     drain.begin();
                     return drain.sweeping();
--- /dev/null
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -0,0 +1,490 @@
+package deckfall.net;
+
+import static deckfall.net.TestEndpoints.bytes;
+import static deckfall.net.TestEndpoints.hostEntry;
+import static deckfall.net.TestEndpoints.hostList;
+import static deckfall.net.TestEndpoints.okResponse;
+import static deckfall.net.TestEndpoints.orderRequest;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import deckfall.DecisionModule;
+import deckfall.Gateway.Actions;
+import deckfall.Gateway.AttemptResult;
+import deckfall.Gateway.Events;
+import deckfall.Gateway.Outcome;
+import deckfall.Gateway.Request;
+import deckfall.net.TestEndpoints.Client;
+import deckfall.net.TestEndpoints.DiscoveryServer;
+import deckfall.net.TestEndpoints.Message;
+import deckfall.net.TestEndpoints.Server;
+import deckfall.net.TestEndpoints.UnreachableServer;
+import java.io.Closeable;
+import java.io.IOException;
+import java.lang.reflect.Proxy;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.concurrent.locks.LockSupport;
+import java.util.function.Function;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** Two events that cross, in the bad order each time: one end of each is in the test's hands. */
+class RaceConditionTest {
+    private static final int MAX_REQUESTS_PER_HOST = 8; // requests for one host; from here on they wait for a place
+    private final Deque<Closeable> closeables = new ArrayDeque<>();
+    private final BlockingQueue<Request> handledRequests =
+            new LinkedBlockingQueue<>(); // after the module has acted on it
+    private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> clientsGone =
+            new LinkedBlockingQueue<>(); // whose client the module knows to be gone
+    private final ManualClock clock = new ManualClock();
+    private DiscoveryServer discovery;
+
+    @AfterEach
+    void close() throws IOException {
+        for (Closeable c : closeables) {
+            c.close();
+        }
+    }
+
+    private <T extends Closeable> T closeLater(T closeable) {
+        closeables.push(closeable);
+        return closeable;
+    }
+
+    private static void echo(Message m, Socket s) throws IOException {
+        s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id")));
+    }
+
+    private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertNotNull(next, "nothing came");
+        return next;
+    }
+
+    private Outcome resultOf(String id) throws InterruptedException {
+        AttemptResult result = next(results);
+        return result.id().equals(id) ? result.outcome() : resultOf(id);
+    }
+
+    /** Connections may take as long as requests to come up. */
+    private Node node(Function<Actions, Events> module, UnaryOperator<String> configChange, String... entries)
+            throws IOException {
+        discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
+                .replace("\"connect_timeout_ms\": 5000", "\"connect_timeout_ms\": 60000");
+        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(configChange.apply(config))), module, clock);
+        closeables.push(node::stop);
+        node.start();
+        return node;
+    }
+
+    private Client client(Node node) throws IOException {
+        return closeLater(new Client(node));
+    }
+
+    /** A module that sends each request to one host. */
+    private Function<Actions, Events> sendingTo(String host) {
+        return act -> new ScriptedModule(
+                (now, r) -> {
+                    act.send(r.id(), host, 0);
+                    handledRequests.add(r);
+                },
+                results::add);
+    }
+
+    /** The module itself, with what it was told of noted once it has acted on it. */
+    private Events recorded(Actions act) {
+        DecisionModule brain = new DecisionModule(act);
+        return (Events) Proxy.newProxyInstance(
+                Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
+                    Object answer = method.invoke(brain, args);
+                    switch (method.getName()) {
+                        case "requestReceived" -> handledRequests.add((Request) args[1]);
+                        case "attemptEnded" -> results.add((AttemptResult) args[1]);
+                        case "clientDisconnected" -> clientsGone.add((String) args[1]);
+                        default -> {}
+                    }
+                    return answer;
+                });
+    }
+
+    /** The first byte counts: it would go to a draining host whenever the connection comes up. */
+    @Test
+    void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
+        for (String state : new String[] {"draining", "gone"}) {
+            UnreachableServer slow = closeLater(new UnreachableServer());
+            Server other = closeLater(new Server(RaceConditionTest::echo));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", slow.address(), "ready"));
+            Client c = client(node).send(orderRequest("o", "b"));
+            assertEquals("o", next(handledRequests).id());
+            discovery.updates.add(hostList(
+                    2, false, hostEntry("h0", slow.address(), state), hostEntry("h1", other.address(), "ready")));
+            assertEquals("for o", c.receive().text());
+            assertEquals(Outcome.FULL, next(results).outcome());
+            assertEquals(Outcome.OK, next(results).outcome());
+        }
+    }
+
+    /** The same where a host has restarted, or has left the list without a word. */
+    @Test
+    void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
+        String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
+        for (String news : lists) {
+            UnreachableServer slow = closeLater(new UnreachableServer());
+            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+            client(node).send(orderRequest("o", "b"));
+            assertEquals("o", next(handledRequests).id());
+            discovery.updates.add(news);
+            assertEquals(Outcome.FULL, next(results).outcome());
+        }
+    }
+
+    /** Settings that forbid to cancel speak of what has been sent; what has not must not be, for nobody. */
+    @Test
+    void requestIsNotSentIfItsClientLeavesBeforeTheHostConnects() throws Exception {
+        for (String cancel : new String[] {"true", "false"}) {
+            UnreachableServer slow = closeLater(new UnreachableServer());
+            Node node = node(
+                    this::recorded,
+                    c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
+                    hostEntry("h0", slow.address(), "ready"));
+            Client c = client(node).send(orderRequest("o" + cancel, "b"));
+            next(handledRequests);
+            c.close();
+            assertEquals("o" + cancel, next(clientsGone));
+            assertEquals(Outcome.MOOT, resultOf("o" + cancel));
+            client(node).send(orderRequest("p", "b"));
+            next(handledRequests);
+            try (Socket came = slow.accept()) {
+                assertEquals(
+                        "p", TestEndpoints.readMessage(came.getInputStream()).header("X-Trace-Id"));
+            }
+        }
+    }
+
+    /** An attempt left for a client that had gone, since its connection came up in the same turn of a busy loop. */
+    @Test
+    void attemptIsNotSentIfItsClientLeavesWhileTheHostConnects() throws Exception {
+        UnreachableServer slow = closeLater(new UnreachableServer());
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+        Client c = client(node).send(orderRequest("o", "b"));
+        next(handledRequests);
+        CountDownLatch go = new CountDownLatch(1);
+        node.loop.execute(() -> await(go));
+        try (Socket came = slow.accept()) {
+            c.close();
+            go.countDown();
+            assertEquals(Outcome.MOOT, resultOf("o"));
+            assertNull(TestEndpoints.readMessage(came.getInputStream()));
+        }
+    }
+
+    /** A request that was sent behind another told its server the time from when its turn came. */
+    @Test
+    void pipelinedRequestLosesTheTimeItWaited() throws Exception {
+        CountDownLatch go = new CountDownLatch(1);
+        Server host = closeLater(new Server((m, s) -> {
+            await(go);
+            echo(m, s);
+        }));
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
+        clock.frozen = true;
+        int ms = TestEndpoints.TIMEOUT_MS;
+        Client c = client(node).send(TestEndpoints.viewRequest("first", ms) + TestEndpoints.viewRequest("second", ms));
+        assertNotNull(host.nextRequest());
+        node.loop.submit(() -> {}).sync(); // both have been read
+        clock.offsetMs = ms / 2;
+        go.countDown();
+        assertEquals("for first", c.receive().text());
+        assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
+    }
+
+    /** A server was told the time that its client had waited for a loop that was held up. */
+    @Test
+    void requestLosesTheTimeItWaitedForABusyEventLoop() throws Exception {
+        int heldMs = 400;
+        CountDownLatch held = new CountDownLatch(1);
+        Server host = closeLater(new Server(RaceConditionTest::echo));
+        Node node = node(
+                act -> new ScriptedModule((now, r) -> {
+                    if (r.id().equals("first")) {
+                        held.countDown();
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(heldMs));
+                    }
+                    act.send(r.id(), "h0", 0);
+                }),
+                c -> c,
+                hostEntry("h0", host.address(), "ready"));
+        Client first = client(node);
+        Client second = client(node);
+        first.send(TestEndpoints.viewRequest("first", TestEndpoints.TIMEOUT_MS));
+        await(held);
+        second.send(TestEndpoints.viewRequest("second", TestEndpoints.TIMEOUT_MS));
+        assertEquals("first", host.nextRequest().header("X-Trace-Id"));
+        int toldMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
+        assertTrue(toldMs <= TestEndpoints.TIMEOUT_MS - heldMs / 2, toldMs + " ms");
+    }
+
+    /** It holds its place in the queue no longer, and none at a host. */
+    @Test
+    void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
+        CountDownLatch go = new CountDownLatch(1);
+        Server host = closeLater(new Server((m, s) -> {
+            go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            echo(m, s);
+        }));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < MAX_REQUESTS_PER_HOST; i++) {
+            clients.add(client(node).send(orderRequest("o" + i, "b")));
+            next(handledRequests);
+        }
+        Client gone = client(node).send(orderRequest("gone", "b"));
+        next(handledRequests);
+        gone.close();
+        assertEquals("gone", next(clientsGone));
+        go.countDown();
+        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b"))); // behind the one that left
+        for (int i = 0; i <= MAX_REQUESTS_PER_HOST; i++) {
+            assertEquals("for o" + i, clients.get(i).receive().text());
+        }
+        assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
+    }
+
+    /** A connection that never came up proves that nothing has run, also where the client's time ends it. */
+    @Test
+    void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
+        UnreachableServer slow = closeLater(new UnreachableServer());
+        Node node = node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
+        String soon =
+                orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
+        assertEquals(429, client(node).send(soon).receive().status());
+        assertEquals(Outcome.CONNECT_FAILED, next(results).outcome());
+    }
+
+    /** The copy comes once the next request has been written, on whichever connection that took. */
+    @Test
+    void lateDuplicateResponseReachesNoOtherRequest() throws Exception {
+        clock.frozen = true;
+        AtomicReference<Socket> first = new AtomicReference<>();
+        Server host = closeLater(new Server((m, s) -> {
+            if (first.compareAndSet(null, s)) {
+                echo(m, s);
+                return;
+            }
+            first.get().getOutputStream().write(okResponse("for one"));
+            echo(m, s);
+        }));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Client c = client(node);
+        assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
+        clock.offsetMs = 25; // so much later than the first one a copy has been seen
+        assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
+    }
+
+    @Test
+    void connectionIsReusedAfterItsRestTime() throws Exception {
+        clock.frozen = true;
+        Set<Socket> used = ConcurrentHashMap.newKeySet();
+        Server host = closeLater(new Server((m, s) -> {
+            used.add(s);
+            echo(m, s);
+        }));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Client c = client(node);
+        for (int i = 0; i < 3; i++) {
+            assertEquals(
+                    "for o" + i, c.send(orderRequest("o" + i, "b")).receive().text());
+            clock.offsetMs += 45; // less than the shortest time for which a connection is trusted
+        }
+        assertEquals(1, used.size());
+    }
+
+    /** What has come of a second answer is taken in at once; its rest comes once the next request has been written. */
+    @Test
+    void partialSecondResponseReachesNoOtherRequest() throws Exception {
+        clock.frozen = true;
+        for (String begun : new String[] {
+            "HTTP/1.1 200 OK\r\n",
+            "HTTP/1.1 200 OK\r\nContent-Le",
+            "left over",
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+        }) {
+            AtomicReference<Socket> first = new AtomicReference<>();
+            Server host = closeLater(new Server((m, s) -> {
+                if (first.compareAndSet(null, s)) {
+                    s.getOutputStream()
+                            .write(bytes(new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + begun));
+                    return;
+                }
+                writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
+                echo(m, s);
+            }));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+            Client c = client(node);
+            assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
+            clock.offsetMs += 45; // the connection has rested, and would be trusted
+            assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
+        }
+    }
+
+    private static void writeIfOpen(Socket s, String text) {
+        try {
+            s.getOutputStream().write(bytes(text));
+        } catch (IOException e) {
+            // the other side has given it up, as it should
+        }
+    }
+
+    /** A head that stops behind a whole line is as little a request as one that stops inside a line. */
+    @Test
+    void laterRequestThatStopsAfterAWholeLineTimesOut() throws Exception {
+        clock.frozen = true;
+        Server host = closeLater(new Server(RaceConditionTest::echo));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Client c = client(node);
+        assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
+        c.send("\r\nGET /view/x HTTP/1.1\r\n");
+        Client other = client(node);
+        assertEquals(
+                "for two", other.send(orderRequest("two", "b")).receive().text()); // what came before has been read
+        clock.offsetMs = 2600;
+        assertEquals(408, c.receive().status());
+        assertEquals(
+                "for three",
+                other.send("\r\n" + orderRequest("three", "b")).receive().text());
+    }
+
+    /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
+    @Test
+    void firstRequestTimesOutFromTheConnectOn() throws Exception {
+        clock.frozen = true;
+        Server host = closeLater(new Server(RaceConditionTest::echo));
+        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Client stranger = client(node);
+        Client other = client(node);
+        assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
+        clock.offsetMs = 2000;
+        stranger.send(orderRequest("o", "whole").replace("whole", "ha"));
+        assertEquals("for two", other.send(orderRequest("two", "b")).receive().text());
+        clock.offsetMs = 2600;
+        assertEquals(408, stranger.receive().status());
+    }
+
+    /** A module that sends nothing on, and notes whose client has left. */
+    private Function<Actions, Events> holdingModule() {
+        return act -> new ScriptedModule((now, r) -> handledRequests.add(r)) {
+            @Override
+            public void clientDisconnected(double now, String id) {
+                clientsGone.add(id);
+            }
+        };
+    }
+
+    private static long memoryUsed(Node node) throws Exception {
+        return node.loop.submit(node.room::usedBytes).get();
+    }
+
+    /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
+    @Test
+    void clientCloseIsNoticedBehindUnprocessedData() throws Exception {
+        String large = orderRequest(
+                "long", "b".repeat(IncomingRequest.MAX_KEPT_BODY_BYTES + IncomingRequest.MAX_SMALL_BODY_BYTES));
+        String many = orderRequest("many", "b") + orderRequest("behind", "b").repeat(64);
+        Node node = node(holdingModule(), c -> c);
+        for (String sent : List.of(large, many)) {
+            Client c = client(node).send(sent);
+            String id = next(handledRequests).id();
+            c.close();
+            assertEquals(id, next(clientsGone));
+            assertEquals(0, memoryUsed(node));
+        }
+        assertTrue(handledRequests.isEmpty());
+    }
+
+    /** Memory is bounded, so that whoever sends too much to be read on while its request waits is told no. */
+    @Test
+    void clientThatSendsTooMuchAheadIsRefused() throws Exception {
+        Node node = node(holdingModule(), c -> c);
+        Client large = client(node).send(orderRequest("long", "b".repeat(8 << 20)));
+        assertEquals("long", next(handledRequests).id());
+        assertEquals("long", next(clientsGone));
+        assertEquals(503, large.receive().status());
+        Client flood = client(node);
+        Thread sending = new Thread(() -> {
+            try {
+                flood.send(orderRequest("flood", "b").repeat(50_000));
+            } catch (IOException e) {
+                // ended by the other side, as it should
+            }
+        });
+        sending.start();
+        assertEquals("flood", next(handledRequests).id());
+        assertEquals("flood", next(clientsGone));
+        sending.join();
+        assertTrue(handledRequests.isEmpty());
+        assertEquals(0, memoryUsed(node));
+    }
+
+    /** What has come is heard of only after the turn in which the module acts; so late it is a break. */
+    @Test
+    void noAttemptStartsIfItsClientLeftWhileTheLoopWasBusy() throws Exception {
+        CountDownLatch[] gone = {new CountDownLatch(1), new CountDownLatch(1)};
+        Server host = closeLater(new Server((m, s) -> s.close()));
+        Node node = node(
+                act -> new ScriptedModule(
+                        (now, r) -> {
+                            handledRequests.add(r);
+                            if (r.id().equals("first")) {
+                                await(gone[0]);
+                            }
+                            act.send(r.id(), "h0", 0);
+                        },
+                        r -> {
+                            results.add(r);
+                            if (r.id().equals("second") && r.outcome() == Outcome.RESET) {
+                                await(gone[1]);
+                                act.send(r.id(), "h0", 0);
+                            }
+                        }),
+                c -> c,
+                hostEntry("h0", host.address(), "ready"));
+        Client first = client(node).send(orderRequest("first", "b"));
+        next(handledRequests);
+        first.close();
+        gone[0].countDown();
+        assertEquals(Outcome.MOOT, next(results).outcome());
+        Client second = client(node).send(orderRequest("second", "b"));
+        next(handledRequests);
+        assertEquals(Outcome.RESET, next(results).outcome());
+        second.close();
+        gone[1].countDown();
+        assertEquals(Outcome.MOOT, next(results).outcome());
+        assertEquals(1, host.requests.size());
+    }
+
+    private static void await(CountDownLatch latch) {
+        try {
+            assertTrue(latch.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
