--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -55,7 +55,7 @@
             }
         }
         if (watch != null) {
-            answerWatch(watch, newHosts);
+            completeWatch(watch, newHosts);
         }
     }
 
@@ -65,19 +65,19 @@
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         long fromVersion = longParameter(query, "from", -1);
         if (fromVersion < 0 || fromVersion > version) {
-            answer(ctx, true, hosts.values());
+            respond(ctx, true, hosts.values());
         } else if (fromVersion < version) {
             Map<String, Host> newHosts = new LinkedHashMap<>();
             for (long changeVersion = fromVersion + 1; changeVersion <= version; changeVersion++) {
                 changesByVersion.get(changeVersion).forEach(host -> newHosts.put(host.id(), host));
             }
-            answer(ctx, false, newHosts.values());
+            respond(ctx, false, newHosts.values());
         } else {
             Watch pendingWatch = new Watch(ctx);
             watch = pendingWatch;
             ctx.executor()
                     .schedule(
-                            () -> answerWatch(pendingWatch, List.of()),
+                            () -> completeWatch(pendingWatch, List.of()),
                             Math.min(MAX_HOLD_MS, longParameter(query, "hold_ms", 0)),
                             TimeUnit.MILLISECONDS);
         }
@@ -88,14 +88,14 @@
         return values == null ? defaultValue : Long.parseLong(values.get(0));
     }
 
-    private void answerWatch(Watch pendingWatch, List<Host> newHosts) {
+    private void completeWatch(Watch pendingWatch, List<Host> newHosts) {
         if (watch == pendingWatch) {
             watch = null;
-            answer(pendingWatch.ctx, false, newHosts);
+            respond(pendingWatch.ctx, false, newHosts);
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
+    private void respond(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
         traffic.countMessage();
         byte[] body = listAsJson(full, listedHosts).toString().getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response =
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -56,7 +56,7 @@
     private void addRequests() {
         RunStatistics statistics = fleet.statistics;
         put("tries_all", statistics.totalRequests);
-        put("answers_all", statistics.totalAnswers);
+        put("answers_all", statistics.totalEndedRequests);
         put("tries", statistics.requests);
         put("first_tries", statistics.firstRequests);
         for (RunStatistics.RequestOutcome outcome : RunStatistics.RequestOutcome.values()) {
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -36,7 +36,7 @@
     final Map<Outcome, Long> callOutcomes = new EnumMap<>(Outcome.class);
     final Histogram dispatchDelayMicros = new Histogram(MAX_DISPATCH_DELAY_US, SIGNIFICANT_DIGITS);
     long totalRequests;
-    long totalAnswers;
+    long totalEndedRequests;
     long requests;
     long firstRequests;
     long refusedWithRetryAfter;
@@ -78,7 +78,7 @@
     }
 
     void requestEnded(ClientRequest request, RequestOutcome outcome, double nowMs) {
-        totalAnswers++;
+        totalEndedRequests++;
         if (outcome == RequestOutcome.SERVED || outcome == RequestOutcome.REFUSED) {
             perSecond.add(
                     outcome == RequestOutcome.SERVED ? PerSecondTotals.Metric.SERVED : PerSecondTotals.Metric.REFUSED,
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -147,8 +147,8 @@
         }
         attempt.ended = true;
         ClientRequest request = attempt.request;
-        boolean answersClient = outcome == Outcome.OK && !request.closed;
-        if (answersClient) {
+        boolean closesRequest = outcome == Outcome.OK && !request.closed;
+        if (closesRequest) {
             closeRequest(request, RunStatistics.RequestOutcome.SERVED, 0);
         }
         AttemptResult result = new AttemptResult(
@@ -157,7 +157,7 @@
                 attempt.host,
                 outcome,
                 now() - attempt.sentAtMs,
-                answersClient,
+                closesRequest,
                 meterReading,
                 0,
                 NO_LOAD_REPORT);
@@ -237,15 +237,15 @@
 
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
-        pendingActions.add(() -> answer(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
+        pendingActions.add(() -> endRequest(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
     }
 
     @Override
     public void fail(String id) {
-        pendingActions.add(() -> answer(id, RunStatistics.RequestOutcome.FAILED, 0));
+        pendingActions.add(() -> endRequest(id, RunStatistics.RequestOutcome.FAILED, 0));
     }
 
-    private void answer(String id, RunStatistics.RequestOutcome requestOutcome, double retryAfterMs) {
+    private void endRequest(String id, RunStatistics.RequestOutcome requestOutcome, double retryAfterMs) {
         ClientRequest request = openRequests.get(id);
         if (request != null && !request.closed) {
             closeRequest(request, requestOutcome, retryAfterMs);
--- a/src/test/java/deckfall/scale/RealRunTest.java
+++ b/src/test/java/deckfall/scale/RealRunTest.java
@@ -67,7 +67,7 @@
         assertTrue((Long) costs.get("real_served") > 0, costs.toString());
         assertEquals(costs.get("real_served"), costs.get("real_pairs"));
         assertEquals(0L, costs.get("real_failed"));
-        assertEquals(fleet.statistics.totalRequests, fleet.statistics.totalAnswers);
+        assertEquals(fleet.statistics.totalRequests, fleet.statistics.totalEndedRequests);
         assertTrue((Double) costs.get("real_loaded_control_messages_per_second_max") > 0, costs.toString());
         assertEquals(1L, costs.get("real_ended_in_order"));
         assertEquals(0L, costs.get("real_left_running"));
--- a/src/test/java/deckfall/scale/SimulationRunTest.java
+++ b/src/test/java/deckfall/scale/SimulationRunTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void everyRequestHasExactlyOneAnswer() {
+    void everyRequestHasExactlyOneOutcome() {
         Map<String, Object> figures = simulate();
         assertTrue(count(figures, "tries") > 2500, figures.toString());
         assertEquals(count(figures, "tries_all"), count(figures, "answers_all"));
@@ -163,7 +163,7 @@
         "counter-slow:1:100, calls_busy",
         "counter-empty:1, calls_timeout"
     })
-    void faultIsVisibleAndEveryRequestIsAnswered(String fault, String figureName) {
+    void faultIsVisibleAndEveryRequestHasAnOutcome(String fault, String figureName) {
         Map<String, Object> withoutFault = simulate(FAULT_TEST_OPTIONS);
         Map<String, Object> figures = simulate(appendArguments(FAULT_TEST_OPTIONS, "--fault", "0.5:" + fault));
         assertEquals(0, count(withoutFault, figureName));
