--- a/src/main/java/deckfall/scale/CounterConnectionHandler.java
+++ b/src/main/java/deckfall/scale/CounterConnectionHandler.java
@@ -15,6 +15,7 @@
     private static final double NO_TIMEOUT_MS = 1e12; // the counter imposes no timeout on its callers
     private static final int ADDGET_WORDS = 4;
 
+    /** The place of a call in the order of replies; without a text until the call has ended. */
     private static final class PendingReply {
         private String text;
     }
--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -21,6 +21,12 @@
     private static final double MAX_RATE_EXPONENT = 16;
     private static final int BISECTION_STEPS = 60;
 
+    // Indexes of a customer's random numbers; negative ones, since its requests use those from 0 on.
+    private static final long PLAN_DRAW = -1;
+    private static final long PROFILE_DRAW = -2;
+    private static final long FIRST_GATEWAY_DRAW = -3;
+    private static final long LOAD_DRAW = -4;
+
     /** The load of a customer, as a share of the rate of its plan. */
     enum LoadProfile {
         LIGHT(0.15, 0.5),
@@ -77,11 +83,12 @@
         first = new int[count];
         for (int customer = 0; customer < count; customer++) {
             long seed = HashRandom.mix(options.seed, customer);
-            planIndexes[customer] = (byte) drawPlan(rateExponent, HashRandom.uniform(seed, -1));
-            profiles[customer] = drawProfile(HashRandom.uniform(seed, -2));
-            first[customer] = (int) (HashRandom.uniform(seed, -3) * options.gateways);
+            planIndexes[customer] = (byte) drawPlan(rateExponent, HashRandom.uniform(seed, PLAN_DRAW));
+            profiles[customer] = drawProfile(HashRandom.uniform(seed, PROFILE_DRAW));
+            first[customer] = (int) (HashRandom.uniform(seed, FIRST_GATEWAY_DRAW) * options.gateways);
             baseUnitsPerSecond[customer] = plan(customer).rate()
-                    * HashRandom.uniformBetween(profiles[customer].minShare, profiles[customer].maxShare, seed, -4);
+                    * HashRandom.uniformBetween(
+                            profiles[customer].minShare, profiles[customer].maxShare, seed, LOAD_DRAW);
         }
     }
 
--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -29,6 +29,7 @@
 final class DiscoveryAgent extends SimpleChannelInboundHandler<FullHttpRequest> implements SimulatedDiscovery.Listener {
     private static final long MAX_HOLD_MS = 60_000;
 
+    /** A long poll that waits for a change. */
     private record Watch(ChannelHandlerContext ctx) {}
 
     private final Function<String, String> addressOf; // by server id
--- a/src/main/java/deckfall/scale/Fault.java
+++ b/src/main/java/deckfall/scale/Fault.java
@@ -9,8 +9,9 @@
     private static final double MAX_SIZE = 1e6;
 
     /**
-     * The kinds of faults, each with its default size: a number of servers, gateways or racks, the number of a zone, or
-     * a slowdown factor. Options use these names, in lower case and with hyphens.
+     * The kinds of faults, each with its default size: a number of servers, gateways or racks, the number of a zone (-1
+     * for the last one), a slowdown factor, or the steps of a release. Options use these names, in lower case and with
+     * hyphens.
      */
     enum Kind {
         SERVER_REPLACED(20),
--- a/src/main/java/deckfall/scale/FaultInjector.java
+++ b/src/main/java/deckfall/scale/FaultInjector.java
@@ -101,6 +101,7 @@
         }
     }
 
+    /** Ends the process of a gateway and starts a new one after the duration. */
     private void takeDown(int gateway, double durationMs) {
         fleet.gateways[gateway].terminate();
         queue.scheduleAfter(SimulatedLoadBalancer.FAILURE_DETECTION_MS, () -> fleet.loadBalancer.checkHealth(gateway));
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -22,6 +22,12 @@
     private static final double CONNECT_TIMEOUT_MS = 250;
     private static final int ONCE_CLASS_INTERVAL = 3; // one class in so many must not be repeated
     private static final double MAX_RETRY_AFTER_MS = 500;
+    private static final double ANSWER_SLACK_MS = 8;
+    private static final double DRAIN_GRACE_MS = 500;
+    private static final double FALL_MULTIPLE = 2;
+    private static final double FALL_MS = 1000;
+    private static final double COUNTER_CALL_PRICE = 0.01;
+    private static final long START_DRAW = -1; // index of a gateway's random number for its start
     static final int SERVICES_ZONE = 0; // zone of discovery and the counter
     private static final int SERVERS_PER_RACK = 20; // all in one zone
 
@@ -85,7 +91,7 @@
         for (int gateway = realGateways; gateway < realGateways + simulatedGateways; gateway++) {
             int number = gateway; // staggered, since periodic calls in step would collide at the counter
             double startAtMs = HashRandom.uniformBetween(
-                    0, SimulationOptions.STARTUP_MS, HashRandom.mix(options.seed, number), -1);
+                    0, SimulationOptions.STARTUP_MS, HashRandom.mix(options.seed, number), START_DRAW);
             queue.scheduleAt(startAtMs, () -> startGateway(number));
         }
     }
@@ -126,10 +132,17 @@
                 plans,
                 List.of(),
                 new Limits(MAX_ATTEMPTS, false, true, false, false, true, MAX_RETRY_AFTER_MS, CONNECT_TIMEOUT_MS),
-                new Rules(8, 500, 2, 1000, options.coldCapacity, options.serverWarmUpMs, 0),
+                new Rules(
+                        ANSWER_SLACK_MS,
+                        DRAIN_GRACE_MS,
+                        FALL_MULTIPLE,
+                        FALL_MS,
+                        options.coldCapacity,
+                        options.serverWarmUpMs,
+                        0),
                 new Coordination(
                         counter != null,
-                        0.01,
+                        COUNTER_CALL_PRICE,
                         options.counterTimeoutMs,
                         metered ? options.meterPeriodMs : 0,
                         false,
@@ -171,7 +184,7 @@
         admissionPolicy = policy;
     }
 
-    /** Called when a request has its final answer. */
+    /** Called when a request has its final outcome. */
     void requestEnded(ClientRequest request, RunStatistics.RequestOutcome outcome, double retryAfterMs) {
         statistics.requestEnded(request, outcome, queue.now());
         if (outcome == RunStatistics.RequestOutcome.REFUSED) {
--- a/src/main/java/deckfall/scale/FleetGateway.java
+++ b/src/main/java/deckfall/scale/FleetGateway.java
@@ -17,7 +17,7 @@
     /** Called when a client's request has arrived completely. */
     abstract void handleRequest(ClientRequest request);
 
-    /** Called when an attempt has ended; {@code meterReading} came with its answer, 0 if there was none. */
+    /** Called when an attempt has ended; {@code meterReading} came with its response, 0 if there was none. */
     abstract void attemptEnded(ClientRequest.Attempt attempt, Outcome outcome, int meterReading);
 
     /** Ends the process. */
--- a/src/main/java/deckfall/scale/HashRandom.java
+++ b/src/main/java/deckfall/scale/HashRandom.java
@@ -10,7 +10,7 @@
 
     private HashRandom() {}
 
-    /** Hashes two numbers to 64 bits. */
+    /** Hashes two numbers to 64 bits, with the finalizer of SplitMix64. */
     static long mix(long seed, long index) {
         long hash = seed * 0x9E3779B97F4A7C15L + index;
         hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/deckfall/scale/HttpConnectionPool.java
+++ b/src/main/java/deckfall/scale/HttpConnectionPool.java
@@ -62,6 +62,7 @@
                 });
     }
 
+    /** One connection, which goes back to the pool after each response. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private Consumer<FullHttpResponse> pendingCallback;
--- a/src/main/java/deckfall/scale/PerSecondTotals.java
+++ b/src/main/java/deckfall/scale/PerSecondTotals.java
@@ -6,7 +6,7 @@
 
 /** Totals of each second of the measured period, which show the onset of a fault and the recovery from it. */
 final class PerSecondTotals {
-    /** What is totalled, named in reports in lower case. */
+    /** The quantities that are totalled, named in reports in lower case. */
     enum Metric {
         TRIES,
         SERVED,
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -49,6 +49,7 @@
     private static final int MAX_LINE_BYTES = 512;
     private static final long READY_TIMEOUT_SECONDS = 60;
     private static final long POLL_INTERVAL_MS = 20;
+    private static final long PROGRESS_INTERVAL_SECONDS = 5;
     private static final double DRAIN_MS = 1000; // after the last deadline
     private static final int HEALTH_TIMEOUT_MS = 2000;
     private static final int STATUS_OK = 200;
@@ -139,8 +140,8 @@
         int zone = fleet.topology.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
         InetSocketAddress listen = freePort();
-        SimulatedServer directServer =
-                callOnEventLoop(() -> fleet.addServer(zone, 0, 0)); // not in discovery: for the direct requests only
+        // Not listed in discovery: it serves the direct requests only.
+        SimulatedServer directServer = callOnEventLoop(() -> fleet.addServer(zone, 0, 0));
         SimulatedServerHandler directHandler = new SimulatedServerHandler(directServer, this::requestReceived);
         RealGateway gateway = new RealGateway(
                 fleet,
@@ -156,9 +157,8 @@
             fleet.gateways[number] = gateway;
             realGateways.add(gateway);
             fleet.discovery.watch(number, agent);
-            fleet.queue.runUntil(
-                    // The simulated gateways start; the clock then waits for the real ones.
-                    SimulationOptions.STARTUP_MS);
+            // The simulated gateways start; the clock then waits for the real ones.
+            fleet.queue.runUntil(SimulationOptions.STARTUP_MS);
             return agent.knownHostsAsJson();
         });
         InetSocketAddress discovery = LoopbackListeners.open(group, () -> prepend(traffic, httpHandlers(agent)));
@@ -344,7 +344,7 @@
         long lastProgressNanos = System.nanoTime();
         while (pacer.now() < untilMs) {
             Thread.sleep(POLL_INTERVAL_MS);
-            if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(5)) {
+            if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(PROGRESS_INTERVAL_SECONDS)) {
                 lastProgressNanos = System.nanoTime();
                 progress.printf("scale: ran %.1f of %.1f s%n", pacer.now() / 1000, options.measuredUntilMs() / 1000);
             }
--- a/src/main/java/deckfall/scale/RealTimePacer.java
+++ b/src/main/java/deckfall/scale/RealTimePacer.java
@@ -46,7 +46,7 @@
         return nowMs;
     }
 
-    /** Returns the largest lag of the clock since the last call, in milliseconds. */
+    /** Returns and resets the largest lag of the clock since the last call, in milliseconds. */
     double takeMaxLagMs() {
         double takenMaxLagMs = maxLagMs;
         maxLagMs = 0;
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** The statistics of a run. All except the total numbers of requests and answers cover the measured period only. */
+/** The statistics of a run. All except the total numbers of requests cover the measured period only. */
 final class RunStatistics {
     /**
      * How a request ended, named in reports in lower case. {@code UNANSWERED} means that the decision module did not
--- a/src/main/java/deckfall/scale/SimulatedClients.java
+++ b/src/main/java/deckfall/scale/SimulatedClients.java
@@ -19,8 +19,14 @@
     private static final double MAX_CALM_DURATION_MS = 25_000;
     private static final double INITIAL_BACKOFF_MS = 200; // before the first retry; doubles with each retry
     private static final double OTHER_GATEWAY_SHARE = 0.5; // of the retries
+    private static final double MIN_BACKOFF_JITTER = 0.5; // times the backoff
+    private static final double MAX_BACKOFF_JITTER = 1.5;
     static final int MAX_RETRIES = 3;
 
+    // Indexes of a request's random numbers; the retry number is added, so that each retry has its own.
+    private static final int BACKOFF_DRAW = 8;
+    private static final int GATEWAY_DRAW = 16;
+
     private final EventQueue queue;
     private final SimulationOptions options;
     private final Customers customers;
@@ -32,7 +38,7 @@
     private final double[] phaseEndMs;
     private final boolean[] inSpike;
     private final double[] weightsEndMs;
-    private final float[] cumulativeWeights; // cumulative, for each gateway of each customer's set
+    private final float[] cumulativeWeights; // for each gateway of each customer's set
     private double endMs = Double.POSITIVE_INFINITY;
 
     SimulatedClients(
@@ -160,12 +166,13 @@
         }
         double backoffMs = INITIAL_BACKOFF_MS
                 * (1 << request.retryNumber)
-                * HashRandom.uniformBetween(0.5, 1.5, seed, 8 + request.retryNumber);
+                * HashRandom.uniformBetween(
+                        MIN_BACKOFF_JITTER, MAX_BACKOFF_JITTER, seed, BACKOFF_DRAW + request.retryNumber);
         double atMs = queue.now() + Math.max(backoffMs, retryAfterMs);
         if (atMs >= endMs) {
             return;
         }
-        boolean otherGateway = HashRandom.uniform(seed, 16 + request.retryNumber) < OTHER_GATEWAY_SHARE;
+        boolean otherGateway = HashRandom.uniform(seed, GATEWAY_DRAW + request.retryNumber) < OTHER_GATEWAY_SHARE;
         int position = Math.floorMod(request.gateway - customers.first(request.customer), options.gateways);
         int nextPosition = otherGateway ? (position + 1) % customers.spread() : position;
         int gateway = (customers.first(request.customer) + nextPosition) % options.gateways;
--- a/src/main/java/deckfall/scale/SimulatedCounter.java
+++ b/src/main/java/deckfall/scale/SimulatedCounter.java
@@ -20,6 +20,7 @@
         REFUSING
     }
 
+    /** The total of one name. */
     private static final class Entry {
         double sum;
         double expiresAtMs;
--- a/src/main/java/deckfall/scale/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -17,6 +17,7 @@
         void hostsUpdated(HostListKind kind, List<Host> hosts);
     }
 
+    /** The state of discovery for one gateway process. */
     private static final class Agent {
         Listener listener;
         double nextDeliveryMs;
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -18,7 +18,7 @@
 /**
  * One process of a gateway without its sockets: the real decision module, whose actions are executed on the simulated
  * services once it has returned, so that its measured time contains nothing else. It keeps the guarantees that the
- * surrounding program gives to the module: attempts end at the deadline of their request, and a late answer to a
+ * surrounding program gives to the module: attempts end at the deadline of their request, and a late reply to a
  * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
@@ -26,12 +26,14 @@
     private static final double STUCK_CONNECTION_MS = 5000; // after which the program abandons that connection
     private static final double[] NO_LOAD_REPORT = new double[0];
 
+    /** The kinds of events that can lead to counter calls for which requests wait. */
     private enum EventKind {
         REQUEST,
         COUNTER_RESULT,
         OTHER
     }
 
+    /** A call that the decision module requested and that is yet to be sent. */
     private record CounterCall(String name, double amount, double lifetimeMs) {}
 
     private final Fleet fleet;
--- a/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
+++ b/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Chooses the gateway for a request: its own or, if that is known to be down, the next of the customer's set that
-     * is not. If all of the set are down, its own.
+     * Chooses the gateway for a request: the one it is addressed to or, if that is known to be down, the next of the
+     * customer's set that is not. If all of the set are known to be down, the request keeps the one it is addressed to.
      */
     int gatewayFor(ClientRequest request) {
         int spread = fleet.customers.spread();
--- a/src/main/java/deckfall/scale/SimulatedServer.java
+++ b/src/main/java/deckfall/scale/SimulatedServer.java
@@ -11,9 +11,12 @@
 /**
  * Simulates a seat server: slots for concurrent requests, a queue in front of them, and random service times, which are
  * longer while the server is cold. It can drain, terminate, become unreachable, or hang, which means that it accepts
- * work and answers nothing.
+ * work and sends no response.
  */
 final class SimulatedServer {
+    private static final int SERVICE_TIME_DRAW = 64; // index of a request's random number; plus the attempt's number
+
+    /** Whether the server takes work, and whether it can be reached. */
     enum State {
         SERVING,
         DRAINING,
@@ -78,7 +81,7 @@
         endAllWork(Outcome.RESET);
     }
 
-    /** Takes the machine off the network: the work that it holds gets no answer. */
+    /** Takes the machine off the network: the work that it holds gets no response. */
     void becomeUnreachable() {
         state = State.UNREACHABLE;
         generation++;
@@ -121,8 +124,8 @@
         activeWork.add(work);
         int startGeneration = generation;
         ClientRequest request = work.attempt.request;
-        double serviceTimeFactor =
-                HashRandom.exponential(HashRandom.mix(options.seed, request.number), 64 + work.attempt.number);
+        double serviceTimeFactor = HashRandom.exponential(
+                HashRandom.mix(options.seed, request.number), SERVICE_TIME_DRAW + work.attempt.number);
         queue.scheduleAfter(options.serviceMs * serviceTimeFactor / capacity(), () -> {
             if (startGeneration == generation) {
                 finishWork(work);
--- a/src/main/java/deckfall/scale/SimulationOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -158,7 +158,7 @@
     @Option(
             names = "--near-ms",
             defaultValue = "0.25",
-            description = "one-way latency within a zone in milliseconds (${DEFAULT-VALUE})")
+            description = "one-way latency within a zone in milliseconds; twice that between zones (${DEFAULT-VALUE})")
     double zoneLatencyMs;
 
     @Option(
--- a/src/main/java/deckfall/scale/SimulationRun.java
+++ b/src/main/java/deckfall/scale/SimulationRun.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Runs a simulation: the warm-up under load, the measured period, the wait for open answers, and a time without load.
+ * Runs a simulation: the warm-up under load, the measured period, the wait for open requests, and a time without load.
  */
 final class SimulationRun {
     private static final double CLOCK_STEP_MS = 100; // virtual time between two checks of the progress
