--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -51,8 +51,8 @@
     private long endedProcessesNanos;
 
     /**
-     * Creates a fleet with simulated gateways behind the places of the real ones. The caller puts the real gateways
-     * into the first places of {@code gateways}.
+     * Creates a fleet whose first gateways are real processes and whose next ones are simulated. The caller puts the
+     * real ones into {@code gateways}.
      */
     Fleet(SimulationOptions options, int realGateways, int simulatedGateways) {
         this.options = options;
--- a/src/main/java/deckfall/scale/FleetGateway.java
+++ b/src/main/java/deckfall/scale/FleetGateway.java
@@ -2,7 +2,7 @@
 
 import deckfall.Gateway.Outcome;
 
-/** A gateway of the fleet as clients, servers and the load balancer see it: simulated or a real process. */
+/** A gateway of the fleet with its interface to clients, servers and the load balancer: simulated or a real process. */
 abstract class FleetGateway {
     final int number;
     final int zone;
--- a/src/main/java/deckfall/scale/QuotaAccounting.java
+++ b/src/main/java/deckfall/scale/QuotaAccounting.java
@@ -3,9 +3,9 @@
 import deckfall.Gateway.Plan;
 
 /**
- * The exact state of the quotas, which no gateway sees: each customer's token bucket over all gateways, the units sent
- * beyond it, and the units refused although half of it was available. A second set of buckets takes all requests that
- * are not retries and yields the worth that was offered within the quotas.
+ * The exact state of the quotas, which no gateway can observe: each customer's token bucket over all gateways, the
+ * units sent beyond it, and the units refused although half of it was available. A second set of buckets takes all
+ * requests that are not retries and yields the worth that was offered within the quotas.
  */
 final class QuotaAccounting {
     static final double WINDOW_MS = 5000; // in which a customer's excess and wrongly refused units are summed up
--- a/src/main/java/deckfall/scale/ReferenceAdmissionPolicy.java
+++ b/src/main/java/deckfall/scale/ReferenceAdmissionPolicy.java
@@ -3,9 +3,8 @@
 import java.util.OptionalDouble;
 
 /**
- * A reference for the admission of the decision module: one policy for the whole fleet that knows each customer's exact
- * token bucket as it was some milliseconds ago, and admits what that bucket held. Without a delay it has full
- * knowledge.
+ * A reference for the admission of the decision module: one policy for the whole fleet that admits what each customer's
+ * exact token bucket held some milliseconds ago. Without a delay it decides with full knowledge.
  */
 final class ReferenceAdmissionPolicy implements AdmissionPolicy {
     private final EventQueue queue;
--- a/src/main/java/deckfall/scale/SimulatedServerHandler.java
+++ b/src/main/java/deckfall/scale/SimulatedServerHandler.java
@@ -19,7 +19,7 @@
     static final String TRACE_ID_HEADER = "X-Trace-Id";
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
 
-    /** Receives the requests and knows them by their trace ids. */
+    /** Receives the requests, which are identified by their trace ids. */
     interface RequestReceiver {
         /** Called when a request has arrived completely; its response is written with {@link #respond}. */
         void requestReceived(String id, SimulatedServer server, ChannelHandlerContext context);
--- a/src/main/java/deckfall/scale/SimulationOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -222,7 +222,7 @@
     @Option(
             names = "--seen-late-ms",
             defaultValue = "500",
-            description = "age in milliseconds of the buckets that the late-seeing reference knows (${DEFAULT-VALUE})")
+            description = "age in milliseconds of the buckets that the late_seeing reference uses (${DEFAULT-VALUE})")
     double referenceDelayMs;
 
     @Option(
--- a/src/test/java/deckfall/scale/SimulationRunTest.java
+++ b/src/test/java/deckfall/scale/SimulationRunTest.java
@@ -128,7 +128,7 @@
 
     /**
      * The policy with full knowledge admits hardly any units beyond the quotas. A few remain because a request that
-     * waits for a server takes its units later than the policy sees it.
+     * waits for a server takes its units later than the policy counts them.
      */
     @Test
     void referencePoliciesBoundTheDecisionModule() {
@@ -191,7 +191,7 @@
         assertEquals(10, deliveredAfterOutage);
     }
 
-    /** A set of one gateway sees all of its customer's use, so that its token buckets agree with the exact ones. */
+    /** The gateway of a one-gateway set gets all requests of its customers, so its buckets match the exact ones. */
     @Test
     void oneGatewayPerCustomerEnforcesQuotasWithoutACounter() {
         Map<String, Object> figures = simulate("--spread", "1", "--counter-rate", "0");
