--- a/src/main/java/deckfall/AdmissionEstimate.java
+++ b/src/main/java/deckfall/AdmissionEstimate.java
@@ -31,7 +31,7 @@
     private static final int VERDICT_COUNT = CounterVerdict.values().length;
 
     private final double[] roomCounts = new double[4 * VERDICT_COUNT];
-    private final double[] answerCounts = new double[4 * VERDICT_COUNT];
+    private final double[] resultCounts = new double[4 * VERDICT_COUNT];
 
     /** The index in the table for what is known before the call. */
     static int evidence(boolean retry, boolean overQuota, CounterVerdict verdict) {
@@ -43,12 +43,12 @@
         double prior = PRIOR_CHANCES[evidence % VERDICT_COUNT]
                 * (evidence / VERDICT_COUNT % 2 == 1 ? OVER_QUOTA_FACTOR : 1)
                 * (evidence >= 2 * VERDICT_COUNT ? RETRY_FACTOR : 1);
-        return (roomCounts[evidence] + PRIOR_WEIGHT * prior) / (answerCounts[evidence] + PRIOR_WEIGHT);
+        return (roomCounts[evidence] + PRIOR_WEIGHT * prior) / (resultCounts[evidence] + PRIOR_WEIGHT);
     }
 
     /** Adds one verdict of the counter. */
     void record(int evidence, boolean hadRoom) {
         roomCounts[evidence] = DECAY * roomCounts[evidence] + (hadRoom ? 1 : 0);
-        answerCounts[evidence] = DECAY * answerCounts[evidence] + 1;
+        resultCounts[evidence] = DECAY * resultCounts[evidence] + 1;
     }
 }
--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -18,7 +18,7 @@
     private static final double MAX_CUT_SHARE = 0.15; // for a reply as late as the timeout; in proportion if earlier
     private static final double TIMELY_SHARE = 0.35; // of the timeout: slower calls are queueing at the counter
     private static final double CONGESTED_LATENESS = 0.5; // of the way from the timely share to the timeout
-    private static final int MIN_TIMELY_ANSWERS = 3; // timely replies after which the counter sustains the rate
+    private static final int MIN_TIMELY_REPLIES = 3; // timely replies after which the counter sustains the rate
     private static final double PRICE_STEP = 0.5; // of the price, added by each call
     private static final double START_PRICE = 50; // multiple of the minimum price
     private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
@@ -34,15 +34,15 @@
     private double minPrice;
     private double savedCallsAt;
     private double pricedAt;
-    private double answeredAt;
-    private int timelyAnswers;
+    private double repliedAt;
+    private int timelyReplies;
     private boolean inSlowStart = true;
 
     CallBudget(double now, double timeoutMs, int gateways) {
         this.rate = this.sustainedRate = Math.max(MIN_RATE, FLEET_START_RATE / gateways);
         this.savedCalls = maxSavedCalls();
         this.timeoutMs = timeoutMs;
-        this.savedCallsAt = this.pricedAt = this.answeredAt = now;
+        this.savedCallsAt = this.pricedAt = this.repliedAt = now;
     }
 
     /** Sets the minimum price: what the deployment charges for a call, or else a small share of the mean worth. */
@@ -94,22 +94,22 @@
     }
 
     /** Adapts the rate to the end of a call; {@code succeeded} is false if it was rejected or got no reply. */
-    void recordAnswer(double now, double latencyMs, boolean succeeded) {
+    void recordReply(double now, double latencyMs, boolean succeeded) {
         double lateness = succeeded ? Math.min(1, (latencyMs / timeoutMs - TIMELY_SHARE) / (1 - TIMELY_SHARE)) : 1;
-        double seconds = Math.min(1, (now - answeredAt) / 1000);
-        answeredAt = now;
+        double seconds = Math.min(1, (now - repliedAt) / 1000);
+        repliedAt = now;
         if (lateness <= 0) {
-            timelyAnswers++;
+            timelyReplies++;
             double recovery = rate < RECOVERY_THRESHOLD * sustainedRate ? RECOVERY_FACTOR : 1;
             double growth = inSlowStart ? SLOW_START_GROWTH * rate : GROWTH_STEP + GROWTH_SHARE * rate * recovery;
             // At the minimum price few calls are made, and their replies are no evidence for a higher rate.
             if (price(now) > minPrice) rate += seconds * growth;
             return;
         }
-        if (timelyAnswers >= MIN_TIMELY_ANSWERS) sustainedRate = rate;
+        if (timelyReplies >= MIN_TIMELY_REPLIES) sustainedRate = rate;
         rate = Math.max(MIN_RATE, rate * (1 - MAX_CUT_SHARE * lateness));
         if (lateness < CONGESTED_LATENESS) return;
-        timelyAnswers = 0;
+        timelyReplies = 0;
         inSlowStart = false;
     }
 }
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -960,7 +960,7 @@
         refill(now, customer);
         customer.callInFlight = false;
         boolean succeeded = outcome == Outcome.OK;
-        callBudget.recordAnswer(now, now - customer.counterCalledAt, succeeded);
+        callBudget.recordReply(now, now - customer.counterCalledAt, succeeded);
         if (succeeded) counterRepliedAt = now;
         if (succeeded && hasWideSet(customer)) applyWindowTotal(now, customer, total);
         else if (succeeded) applyCounterTotal(now, customer, total);
--- a/src/test/java/deckfall/CallBudgetTest.java
+++ b/src/test/java/deckfall/CallBudgetTest.java
@@ -35,7 +35,7 @@
                 budget.recordCall(now);
                 calls[kind]++;
                 double latencyMs = ++queue / capacityPerSecond * 1000;
-                budget.recordAnswer(now, Math.min(TIMEOUT_MS, latencyMs), latencyMs < TIMEOUT_MS);
+                budget.recordReply(now, Math.min(TIMEOUT_MS, latencyMs), latencyMs < TIMEOUT_MS);
             }
         }
         return calls;
