--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -29,16 +29,18 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
+/** One client connection. It serves one request at a time, in order; pipelined requests wait in a queue. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final int MAX_READ_AHEAD_BYTES =
-            512 * 1024; // what is read ahead on one connection; then reading stops
-    private static final int HEAD_SIZE_ESTIMATE_BYTES = 2048; // what a head that is read ahead takes, about
-    private static final long MAX_READ_PAUSE_MS = 80; // an attempt may begin until 100 ms after its client has gone
-    private static final long REQUEST_TIMEOUT_MS = 2500; // a peer that has sent no whole head by then is told so
-    private static final double MIN_BODY_BYTES_PER_MS = 32; // a body that comes more slowly is given up
+    private static final int MAX_READ_AHEAD_BYTES = 512 * 1024; // per connection; beyond this, reading is paused
+    private static final int HEAD_SIZE_ESTIMATE_BYTES = 2048; // the approximate memory of a queued request head
+    // An attempt may start up to 100 ms after its client has left, and a pause hides that
+    private static final long MAX_READ_PAUSE_MS = 80;
+    // A client that has sent no complete head by then gets a response
+    private static final long REQUEST_TIMEOUT_MS = 2500;
+    private static final double MIN_BODY_BYTES_PER_MS = 32; // a slower body is given up
     private static final long DISCARD_TIMEOUT_MS = 2000; // how long the rest of an unwanted body is read
-    private static final int MAX_UNCOUNTED_RESPONSE_BYTES = 4096; // answers so small that they always find room
+    // Smaller responses do not count against the memory budget
+    private static final int MAX_UNCOUNTED_RESPONSE_BYTES = 4096;
     private static final int SCHEME_SEPARATOR_LENGTH = 3;
     private static final double MS_PER_SECOND = 1000;
     private static final String READINESS_PATH = "/healthz";
@@ -51,23 +53,23 @@
     private final RetryingSocketChannel channel;
     private final StrictRequestDecoder decoder;
     private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
-    private CloseReason closeReason; // null while the client alone could end it
+    private CloseReason closeReason; // null until this side decides to close
     private int queuedBytes;
-    private Future<?> readPauseTimeout; // ends the time for which its client's leaving may not be seen
-    private boolean closeAfterTransfer; // the connection ends with the answer that is being passed on
-    private IncomingRequest incoming; // until its last byte has come
+    private Future<?> readPauseTimeout; // ends a read pause, in which a close by the client is not noticed
+    private boolean closeAfterTransfer; // the connection is closed after the response that is being streamed
+    private IncomingRequest incoming; // null once its last byte has been received
     private OpenRequest openRequest;
     private ResponseTransfer transfer;
-    private boolean hasSentRequest; // a whole request has come on it
+    private boolean hasSentRequest; // a complete request has been received
     private boolean busy;
     private boolean keepAlive = true;
-    private boolean http10; // the current request's: its client reads no chunks
-    private boolean closeDelimited; // the end of the connection is the end of the answer
-    private boolean closing; // the last answer is on its way
-    private boolean discarding; // what still comes of a body that nobody wants
-    private double partialHeadSinceMs; // when a head that is not whole began to come
+    private boolean http10; // of the current request: its client does not support chunked encoding
+    private boolean closeDelimited; // the close of the connection ends the response
+    private boolean closing; // the last response is on its way
+    private boolean discarding; // the rest of an unwanted body is being read
+    private double partialHeadSinceMs; // since when a head is awaited or incomplete, 0 if neither
     private double lastUsedMs;
-    private double messageReadMs; // when what is being looked at was read: its client's time goes on from there
+    private double messageReadMs; // when the message being processed was read; the client's time runs from there
 
     ClientConnection(ClientServer server, Node node, RetryingSocketChannel channel, StrictRequestDecoder decoder) {
         this.server = server;
@@ -81,22 +83,22 @@
         node.loopDelay.observeDelayMs();
         server.connectionOpened(this);
         lastUsedMs = node.clock.now();
-        partialHeadSinceMs = lastUsedMs; // a stranger's time counts from its connecting
+        partialHeadSinceMs = lastUsedMs; // before the first complete request, time counts from the connect
         if (!server.makeRoomFor(this) && safeToClose()) {
             close(CloseReason.NO_DESCRIPTOR);
         }
     }
 
-    /** Ends it without a further answer; a client that ends it meanwhile goes first. */
+    /** Closes the connection without a further response. If the client closes it first, that is the recorded reason. */
     void close(CloseReason reason) {
-        server.connectionClosed(this); // now, as its end is told only later
+        server.connectionClosed(this); // now, as channelInactive is called only later
         if (closeReason == null && channel.isActive()) {
             closeReason = reason;
         }
         channel.close();
     }
 
-    /** Whether a close would lose nothing, not even what has come and the loop has not seen yet. */
+    /** Whether a close would lose nothing, not even data that has arrived and that the event loop has not read yet. */
     boolean safeToClose() {
         readNow();
         return !busy
@@ -114,7 +116,10 @@
         }
     }
 
-    /** Silence, or a request that never becomes whole: whoever it is may be waiting for a word. */
+    /**
+     * Closes the connection if its client is silent or never completes its request. The client gets a response, as it
+     * may be waiting for one.
+     */
     void closeIfTooSlow(double now) {
         if (transfer != null) {
             transfer.abortIfStalled(now);
@@ -126,7 +131,7 @@
             double elapsedMs = now - incoming.startedMs;
             double waitedMs = hasSentRequest
                     ? elapsedMs
-                    : now - partialHeadSinceMs; // a stranger's time counts from its connecting
+                    : now - partialHeadSinceMs; // before the first complete request, time counts from the connect
             if (waitedMs > REQUEST_TIMEOUT_MS
                     && channel.config().isAutoRead()
                     && incoming.receivedBytes() < elapsedMs * MIN_BODY_BYTES_PER_MS) {
@@ -141,14 +146,15 @@
         }
     }
 
+    /** Closes the connection at the end of a drain, after responses on their way. A partial request is refused. */
     void closeAtDrainEnd() {
         readNow();
-        processQueue(); // what has been read is a request
+        processQueue(); // what has been read may be a request
         if (incoming != null && !closing) {
             respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         } else if (!busy && !closing) {
             closing = true;
-            channel.writeAndFlush(Unpooled.EMPTY_BUFFER) // behind all answers that still wait
+            channel.writeAndFlush(Unpooled.EMPTY_BUFFER) // after all responses that are still queued
                     .addListener(f -> close(CloseReason.DRAINED));
         }
     }
@@ -159,7 +165,8 @@
         server.setIdle(this, false);
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished); // its body will not become whole, or nothing shows whether its client waits
+            // Its body will not be completed, or it is unknown whether its client still waits
+            node.clientLeft(unfinished);
         }
         respond(status, 0);
     }
@@ -201,7 +208,7 @@
         addQueuedBytes(sizeBytes(message));
     }
 
-    /** How many whole requests have been read and not been answered, nor begun to be. */
+    /** The number of complete requests that were read and whose response has not begun. */
     private int unansweredRequests() {
         long completeRequests = queue.stream()
                 .filter(a -> a.message() instanceof LastHttpContent)
@@ -210,8 +217,8 @@
     }
 
     /**
-     * What has been read is looked at in a turn of its own: the first attempt reads the connection once more, and
-     * inside a read that can't be done.
+     * Processes what has been read in a separate task, as the first attempt reads the connection once more, which can't
+     * be done inside a read.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -226,7 +233,7 @@
         }
         try {
             processQueue();
-        } catch (RuntimeException | Error e) { // no handler of the channel's hears of it in this turn
+        } catch (RuntimeException | Error e) { // exceptionCaught is not called for a task
             closeOnError(e);
             return;
         }
@@ -237,7 +244,7 @@
             partialHeadSinceMs = node.clock.now();
         }
         if (partial) {
-            server.setIdle(this, false); // a close would lose a request of which a part has been read
+            server.setIdle(this, false); // a close would lose the part of a request that has been read
         } else if (!busy && !closing && queue.isEmpty()) {
             server.setIdle(this, true);
         }
@@ -279,7 +286,9 @@
         updateAutoRead();
     }
 
-    /** Reads on while there is room for what comes; a request read ahead waits as it came. */
+    /**
+     * Reads on only while there is room for more data. Requests that were read ahead stay queued as they were received.
+     */
     private void updateAutoRead() {
         boolean autoRead = incoming != null && !closing
                 ? incoming.acceptsMore()
@@ -297,7 +306,10 @@
         }
     }
 
-    /** No close is seen behind what is not read, and nothing may be sent on for a client that has gone. */
+    /**
+     * Ends a read pause that took too long. A close by the client can't be noticed behind unread data, and nothing may
+     * be sent to a host for a client that has left.
+     */
     private void onReadPauseTimeout() {
         readPauseTimeout = null;
         updateAutoRead(); // memory may have become free
@@ -311,7 +323,7 @@
         }
     }
 
-    /** Whether the client has closed its connection, also where the loop has been too busy to hear of it. */
+    /** Whether the client has closed its connection, even if the event loop has been too busy to notice. */
     boolean closedByClient() {
         readNow();
         return !channel.isActive();
@@ -322,7 +334,7 @@
         server.setIdle(this, false);
         http10 = head.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
         if (head.decoderResult().isFailure() || !hasUnambiguousLength(head)) {
-            keepAlive = false; // where the next request would begin is not known
+            keepAlive = false; // it is unknown where the next request would start
             respond(HttpResponseStatus.BAD_REQUEST, 0);
             return;
         }
@@ -336,7 +348,7 @@
         }
     }
 
-    /** Answers before the body has come, if only by the word to send it. */
+    /** Responds to an Expect header before the body arrives, at least with 100 Continue. */
     private void handleExpect(HttpRequest head) {
         if (!HttpUtil.is100ContinueExpected(head)) {
             respond(HttpResponseStatus.EXPECTATION_FAILED, 0);
@@ -373,7 +385,9 @@
         }
     }
 
-    /** The rest of the body can't be told from what comes after it. */
+    /**
+     * Rejects a request whose end is unknown, so that the rest of its body can't be told apart from what follows it.
+     */
     private void rejectMalformed() {
         keepAlive = false;
         OpenRequest unfinished = openRequest;
@@ -385,7 +399,7 @@
 
     private void requestComplete(IncomingRequest message) {
         message.markComplete();
-        if (openRequest != null) { // taken before
+        if (openRequest != null) { // admitted before it was complete
             Request request = server.requestReader().read(message, messageReadMs);
             node.bodyCame(openRequest, request.deadlineMs());
         } else if (message.uri.equals(READINESS_PATH)) {
@@ -428,12 +442,12 @@
                 node.config.settings().limits().maxRetryAfterMs());
     }
 
-    /** When it was last used, on the node's clock. */
+    /** When the connection was last used, on the node's clock. */
     double lastUsedMs() {
         return lastUsedMs;
     }
 
-    /** Whether a whole request has come on it. */
+    /** Whether a complete request has been received on this connection. */
     boolean hasSentRequest() {
         return hasSentRequest;
     }
@@ -442,7 +456,7 @@
         openRequest = r;
     }
 
-    /** Passes a host's answer on as it came. */
+    /** Forwards a host's complete response. */
     void sendResponse(FullHttpResponse hostResponse) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
@@ -455,7 +469,7 @@
         write(response);
     }
 
-    /** Passes on the head of an answer whose body comes by and by. */
+    /** Forwards the head of a response whose body is streamed. */
     void beginResponse(HttpResponse hostResponse, ResponseTransfer responseTransfer) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         for (CharSequence name : List.of(HttpHeaderNames.CONTENT_TYPE, HttpHeaderNames.CONTENT_LENGTH)) {
@@ -474,7 +488,7 @@
         channel.write(response, channel.voidPromise());
     }
 
-    /** Takes over what it is given. */
+    /** Writes a part of the streamed body and takes ownership of the buffer. */
     void writeContent(ByteBuf content) {
         channel.write(new DefaultHttpContent(content), channel.voidPromise());
     }
@@ -487,7 +501,7 @@
         return channel.isWritable();
     }
 
-    /** The answer that was passed on is whole. */
+    /** Ends the streamed response, which is complete. */
     void finishResponse(ChannelFutureListener listener) {
         transfer = null;
         ChannelFuture lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -495,7 +509,10 @@
         responseWritten(lastWrite);
     }
 
-    /** The rest of the answer will not come: a reset is the one end that nobody takes for a whole answer. */
+    /**
+     * Resets the connection, as the rest of the response will not arrive. Only a reset can't be mistaken for the end of
+     * a complete response.
+     */
     void reset() {
         transfer = null;
         if (channel.isActive()) {
@@ -518,7 +535,7 @@
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
         setConnectionHeader(response);
         if (closing || bytes > MAX_UNCOUNTED_RESPONSE_BYTES) {
-            node.room.reserve(bytes); // until a slow client has taken it
+            node.room.reserve(bytes); // until a slow client has received it
             ChannelFuture sent = channel.writeAndFlush(response);
             sent.addListener(f -> node.room.release(bytes));
             responseWritten(sent);
@@ -528,7 +545,7 @@
         }
     }
 
-    /** Settles whether the connection goes on after this answer. */
+    /** Decides whether the connection stays open after this response, and sets the Connection header. */
     private void setConnectionHeader(HttpResponse response) {
         boolean mustClose = !keepAlive || closeDelimited || incoming != null;
         closing = mustClose || (node.draining() || server.aboveKeepAliveLimit()) && !hasReadAhead();
@@ -539,13 +556,15 @@
         }
     }
 
-    /** Whether some of a further request has been read already, which would get no answer behind the last one. */
+    /**
+     * Whether a part of a further request has been read already, which would get no response if this one were the last.
+     */
     private boolean hasReadAhead() {
         readNow();
         return !queue.isEmpty() || decoder.hasPartialMessage();
     }
 
-    /** What follows an answer; {@code sent} is needed where it is the last one. */
+    /** Continues after a response was written; {@code sent} is required if it is the last one. */
     private void responseWritten(ChannelFuture sent) {
         openRequest = null;
         busy = false;
@@ -557,12 +576,15 @@
         }
         if (queue.isEmpty()) {
             server.setIdle(this, true);
-        } else { // not at once: an answer may be given while the request is being taken
+        } else { // not at once, as a response may be written while its request is still being processed
             node.loop.execute(this::processRead);
         }
     }
 
-    /** A client that is still sending would lose its answer to a close, so the rest is read for a while. */
+    /**
+     * Closes the connection once the last response was sent. A client that is still sending would lose the response to
+     * a close, so the rest of its body is read for a while first.
+     */
     private void closeAfter(ChannelFuture sent) {
         discardQueue();
         discarding = incoming != null;
@@ -591,12 +613,12 @@
     private void closeOnError(Throwable cause) {
         boolean ioError = cause instanceof IOException;
         if (!ioError) {
-            Node.log("defect: a client's connection ended by " + cause);
+            Node.log("defect: client connection closed by " + cause);
         }
         close(ioError ? CloseReason.BROKEN : CloseReason.DEFECT);
     }
 
-    /** Whether the request's length can be read in one way only. */
+    /** Whether the length of the request is unambiguous. */
     private static boolean hasUnambiguousLength(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
@@ -606,7 +628,9 @@
                                 codings.get(0).trim());
     }
 
-    /** A client may name the whole address, as it would to a proxy; hosts are asked for path and query. */
+    /**
+     * Reduces a URI to path and query, which hosts expect. A client may send an absolute URI, as it would to a proxy.
+     */
     private static String originForm(String uri) {
         int schemeEnd = uri.startsWith("/") ? -1 : uri.indexOf("://");
         if (schemeEnd < 0) {
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -15,14 +15,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Accepts clients, reads their requests, and writes the one answer to each. */
+/**
+ * Accepts clients, reads their requests and writes one response to each. Closes connections that are too slow, and idle
+ * ones when clients hold more than their share of descriptors.
+ */
 final class ClientServer {
     static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
     private static final int MIN_READ_BUFFER_BYTES = 256;
     private static final int INITIAL_READ_BUFFER_BYTES = 2048;
-    private static final int MAX_READ_BUFFER_BYTES = 16 * 1024; // many are under way at once
+    private static final int MAX_READ_BUFFER_BYTES = 16 * 1024; // small, as many connections are read at once
     private static final int ACCEPT_BACKLOG = 512;
-    private static final double FIRST_REQUEST_GRACE_MS = 10; // in which a connection's first request may be on its way
+    private static final double FIRST_REQUEST_GRACE_MS = 10; // a new connection's first request may be on its way
     private static final long CHECK_INTERVAL_MS = 100;
 
     private final Node node;
@@ -31,7 +34,7 @@
     private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
     private final AtomicInteger connectionCount = new AtomicInteger();
     private final ConnectionLimits limits;
-    private AcceptRetry acceptRetry; // the present listener's
+    private AcceptRetry acceptRetry; // of the current listener
     private RetryingServerSocketChannel listener;
     private double lastActivityMs;
     private boolean sharesListener;
@@ -43,13 +46,16 @@
         limits = new ConnectionLimits(node.config.sockets());
     }
 
-    /** Buffers that grow with what comes, from little. */
+    /** An allocator of read buffers that start small and grow with the data received. */
     static RecvByteBufAllocator readBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(
                 MIN_READ_BUFFER_BYTES, INITIAL_READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES);
     }
 
-    /** Clients are served once this has succeeded: at the inherited listener, else at the configured address. */
+    /**
+     * Starts to serve clients, on the inherited listener if there is one, otherwise on the configured address. Clients
+     * are served once the returned future has succeeded.
+     */
     ChannelFuture start(ServerSocketChannel inherited) {
         sharesListener = inherited != null;
         acceptRetry = new AcceptRetry(this::shedIfAboveKeepAliveLimit);
@@ -89,14 +95,14 @@
         return bindFuture;
     }
 
-    /** Whether another process may serve clients of the same listener. */
+    /** Whether other processes may serve clients of the same listener. */
     boolean sharesListener() {
         return sharesListener;
     }
 
     /**
-     * After this only connections that already came are served. A shared listener is left open, as its queue is
-     * another process's too, and as closing an inherited channel takes the standard streams along.
+     * Stops accepting; only connections that were accepted before are served. A shared listener is left open, as its
+     * queue belongs to other processes too, and as closing an inherited channel also closes the standard streams.
      */
     void stopAccepting() {
         acceptRetry.stop(listener);
@@ -106,14 +112,14 @@
     }
 
     /**
-     * Accepts all that wait: a listener that closes resets them, with what their clients have asked. False where the
-     * system let none be accepted just now.
+     * Accepts all queued connections, since closing the listener resets them and loses their clients' requests. Returns
+     * false if the system failed to accept just now.
      */
     boolean acceptQueued() {
         return listener.acceptQueued();
     }
 
-    /** Closes the connections on which nothing has been asked for so long. */
+    /** Closes the connections that have been idle for {@code minIdleMs}. */
     void closeIdle(double minIdleMs) {
         double usedBeforeMs = node.clock.now() - minIdleMs;
         for (ClientConnection c : List.copyOf(idleConnections)) {
@@ -124,7 +130,10 @@
         }
     }
 
-    /** Leaves open only what an answer is on its way on: whoever has sent a part of a request is told no. */
+    /**
+     * Closes all connections except those with a response on its way. A client that has sent a part of a request is
+     * refused.
+     */
     void closeAll() {
         stopAccepting();
         List.copyOf(connections).forEach(ClientConnection::closeAtDrainEnd);
@@ -134,12 +143,12 @@
         return connections.isEmpty();
     }
 
-    /** When a connection last came, or was closed while idle. */
+    /** When a connection was last accepted, or closed while idle. */
     double lastActivityMs() {
         return lastActivityMs;
     }
 
-    /** From any thread: about how many clients' connections are open. */
+    /** The approximate number of open client connections. May be called from any thread. */
     int connectionCount() {
         return connectionCount.get();
     }
@@ -148,12 +157,15 @@
         return listener;
     }
 
-    /** What all processes of this gateway hold of the descriptors that clients share. */
+    /** The number of descriptors that client connections of all processes of this gateway hold. */
     int descriptorsHeld() {
         return node.heldByAll(connections.size(), SiblingWatch.Siblings::clients);
     }
 
-    /** Whether clients hold more than their share: connections end with their next answer. */
+    /**
+     * Whether clients hold more than their share of descriptors, so that connections are closed with their next
+     * response.
+     */
     boolean aboveKeepAliveLimit() {
         return descriptorsHeld() > limits.maxKeepAlive();
     }
@@ -162,7 +174,7 @@
         return limits.maxClients(node.hostsHeld());
     }
 
-    /** What a client's message is read with. */
+    /** The reader of client requests. */
     RequestReader requestReader() {
         return requestReader;
     }
@@ -180,7 +192,7 @@
         connectionCount.set(connections.size());
     }
 
-    /** Whether nothing is asked on it, so that it may be closed. */
+    /** Sets whether the connection is idle, so that it may be closed. */
     void setIdle(ClientConnection c, boolean isIdle) {
         if (isIdle) {
             idleConnections.add(c);
@@ -189,7 +201,7 @@
         }
     }
 
-    /** Makes room for a new connection; false where no descriptor is left for it. */
+    /** Closes idle connections to make room for a new one. Returns false if no descriptor is left for it. */
     boolean makeRoomFor(ClientConnection newConnection) {
         if (aboveKeepAliveLimit()) {
             shed(newConnection, Math.max(1, descriptorsHeld() - maxClientDescriptors()));
@@ -203,7 +215,7 @@
         }
     }
 
-    /** Closes up to so many idle connections, the longest idle first; not the one that has just come. */
+    /** Closes up to {@code maxClosed} idle connections, the longest idle first, but never {@code newConnection}. */
     private void shed(ClientConnection newConnection, int maxClosed) {
         int closed = 0;
         for (ClientConnection c : List.copyOf(idleConnections)) {
@@ -221,7 +233,7 @@
         }
     }
 
-    /** Looks after peers that are too slow, whatever they do: one beat for all connections. */
+    /** Closes connections whose clients are too slow, whatever they do. One timer serves all connections. */
     private void checkConnections() {
         double now = node.clock.now();
         for (ClientConnection c : List.copyOf(connections)) {
--- a/src/main/java/deckfall/net/CloseReason.java
+++ b/src/main/java/deckfall/net/CloseReason.java
@@ -1,23 +1,23 @@
 package deckfall.net;
 
-/** Why a client's connection ended; counted in the log's tally. */
+/** Why a client connection was closed. The tally in the log counts closes by these names. */
 enum CloseReason {
     /** The client closed it. */
     CLIENT,
-    /** It broke: reset, or unreachable for too long. */
+    /** The connection broke: it was reset, or the client was unreachable for too long. */
     BROKEN,
-    /** With the last answer on it. */
+    /** Closed after its last response. */
     ANSWERED,
-    /** Idle in a drain. */
+    /** Closed while idle in a drain. */
     DRAINED,
-    /** Idle, where clients hold more descriptors than their share. */
+    /** Closed while idle, as clients held more than their share of descriptors. */
     SHED,
-    /** New, where no descriptor is left for it. */
+    /** Closed right after it was accepted, as no descriptor was left for it. */
     NO_DESCRIPTOR,
-    /** The peer sent no whole request in time, or did not end after its last answer. */
+    /** The client sent no complete request in time, or did not close its side after the last response. */
     SLOW,
-    /** Its answer can't be finished, as its server broke it off or either side stands still. */
+    /** Its response can't be completed, as the host broke it off or either side stalled. */
     CUT_OFF,
-    /** An exception in this program. */
+    /** Closed because of an unexpected exception in this program. */
     DEFECT
 }
