--- a/src/main/java/deckfall/net/HeaderNames.java
+++ b/src/main/java/deckfall/net/HeaderNames.java
@@ -1,6 +1,6 @@
 package deckfall.net;
 
-/** Names of the headers by which clients, gateways and hosts tell each other of a request. */
+/** Names of the HTTP headers that describe a request to gateways and hosts. */
 final class HeaderNames {
     static final String TRACE_ID = "X-Trace-Id";
     static final String PLAN = "X-Plan";
--- a/src/main/java/deckfall/net/IncomingRequest.java
+++ b/src/main/java/deckfall/net/IncomingRequest.java
@@ -7,20 +7,21 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * A request as it comes from its client: the head, and of the body what has come and has not been passed on. A body
- * that has come whole can be sent any number of times; one that was passed on while it came, once.
+ * A request that is being received from its client: the head, and the part of the body that has arrived and was not
+ * forwarded yet. A body that was received completely can be sent any number of times; one that was streamed while it
+ * arrived can be sent only once.
  */
 final class IncomingRequest {
     static final int MAX_BODY_BYTES = 32 << 20;
-    static final int MAX_SMALL_BODY_BYTES = 64 * 1024; // kept whole even where room is short
-    static final int MAX_KEPT_BODY_BYTES = 256 * 1024; // kept whole where there is room
-    private static final int MAX_BUFFERED_BYTES =
-            1 << 20; // read on until it is passed on, as behind it a close may come
+    static final int MAX_SMALL_BODY_BYTES = 64 * 1024; // kept in full even when memory is short
+    static final int MAX_KEPT_BODY_BYTES = 256 * 1024; // kept in full while there is enough memory
+    // Before the body is streamed it is read up to this size, as a close by the client is only noticed behind it
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
     private static final int UNKNOWN_LENGTH = -1;
 
-    /** Where the body goes while it comes. */
+    /** Receives the body while it arrives. */
     interface BodyReceiver {
-        /** Takes over what it is given. */
+        /** Takes ownership of the buffer. */
         void writeBody(ByteBuf content);
 
         void finishBody();
@@ -30,7 +31,7 @@
 
     final HttpRequest head;
     final String uri; // in origin form
-    final long declaredBytes; // -1 where chunks tell
+    final long declaredBytes; // -1 for a chunked body
     final double startedMs;
     private final MemoryBudget memoryBudget;
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
@@ -38,7 +39,7 @@
     private Runnable acceptsMoreListener = () -> {};
     private long receivedBytes;
     private boolean complete;
-    private boolean streamed; // passed on at least in part
+    private boolean streamed; // at least partly forwarded to a receiver
     private boolean released;
 
     IncomingRequest(HttpRequest head, String uri, MemoryBudget memoryBudget, double now) {
@@ -61,7 +62,7 @@
         return receivedBytes;
     }
 
-    /** What may still come, where nothing tells how much. */
+    /** The number of body bytes that may still arrive, up to the maximum if no length is declared. */
     long remainingBytes() {
         return complete ? 0 : (declaredBytes >= 0 ? declaredBytes : MAX_BODY_BYTES) - receivedBytes;
     }
@@ -74,7 +75,7 @@
         return streamed;
     }
 
-    /** All of the body, for a message of its own. */
+    /** The whole body, for another message; the caller must release it. */
     ByteBuf retainedBody() {
         return buffered.retainedDuplicate();
     }
@@ -100,13 +101,13 @@
         }
     }
 
-    /** More is held than is kept of a body that is still coming. */
+    /** Whether more of the body is buffered than is kept while it is still arriving. */
     boolean exceedsKeptSize() {
         int bytes = buffered.readableBytes();
         return bytes >= MAX_KEPT_BODY_BYTES || bytes >= MAX_SMALL_BODY_BYTES && memoryBudget.nearlyExhausted();
     }
 
-    /** Whether more of it can be taken from the client now. */
+    /** Whether more of the body can be read from the client now. */
     boolean acceptsMore() {
         return receiver != null
                 ? receiver.writable()
@@ -116,7 +117,7 @@
                         || buffered.readableBytes() < MAX_BUFFERED_BYTES && !memoryBudget.nearlyExhausted();
     }
 
-    /** Calls back when more can be taken after it could not. */
+    /** Sets the listener that is called when more can be read after it could not. */
     void onAcceptsMore(Runnable listener) {
         acceptsMoreListener = listener;
     }
@@ -125,7 +126,7 @@
         acceptsMoreListener.run();
     }
 
-    /** From here on the body goes there, first what is held. */
+    /** Streams the body to the receiver from now on, starting with what is buffered. */
     void streamTo(BodyReceiver bodyReceiver) {
         streamed = true;
         receiver = bodyReceiver;
@@ -143,7 +144,7 @@
         fireAcceptsMore();
     }
 
-    /** What still comes is dropped. */
+    /** Detaches the receiver; the rest of the body is dropped. */
     void detach(BodyReceiver bodyReceiver) {
         if (receiver == bodyReceiver) {
             receiver = null;
--- a/src/main/java/deckfall/net/MessageProgress.java
+++ b/src/main/java/deckfall/net/MessageProgress.java
@@ -5,17 +5,20 @@
 import java.util.List;
 
 /**
- * Whether a message has begun to come and is not whole. The decoder alone doesn't tell: it takes a head in line by
- * line, so that behind each whole line nothing is left unread.
+ * Tracks whether a message has been received in part. The decoder alone does not show this: it consumes a head line by
+ * line, so that no unread bytes are left after a complete line.
  */
 final class MessageProgress {
     private boolean insideMessage;
 
-    /** After a step of a decoder that read {@code in} from there and had put out so many objects before. */
+    /**
+     * Updates the state after a call of a decoder that read {@code in} from {@code startIndex} on, and whose output had
+     * {@code sizeBefore} objects before the call.
+     */
     void decoded(ByteBuf in, int startIndex, List<Object> out, int sizeBefore) {
         if (out.size() > sizeBefore) {
             insideMessage = !(out.get(out.size() - 1) instanceof LastHttpContent);
-        } else if (!insideMessage) { // blank lines before a message are none of it
+        } else if (!insideMessage) { // blank lines before a message do not belong to it
             insideMessage = in.forEachByte(startIndex, in.readerIndex() - startIndex, b -> b == '\r' || b == '\n') >= 0;
         }
     }
--- a/src/main/java/deckfall/net/OpenRequest.java
+++ b/src/main/java/deckfall/net/OpenRequest.java
@@ -5,17 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request in the table: its client, until answered or gone, and its attempts. */
+/** An entry in the table of open requests: the client, until it is answered or has left, and the attempts. */
 final class OpenRequest {
     final Request request;
-    final IncomingRequest message; // held until the entry leaves the table
+    final IncomingRequest message; // released when the entry is removed from the table
     final String traceId;
     final List<Attempt> attempts = new ArrayList<>(2);
     private ClientConnection client;
     private boolean closed;
-    int attemptsInFlight; // attempts that have not ended
+    int attemptsInFlight;
     Future<?> deadlineTimer;
-    double deadlineMs; // moves on while the body is still coming
+    double deadlineMs; // extended while the body is still arriving
 
     OpenRequest(Request request, IncomingRequest message, String traceId, ClientConnection client) {
         this.request = request;
@@ -29,12 +29,15 @@
         return closed;
     }
 
-    /** Whether the client that is still owed an answer has closed its connection by now. */
+    /** Whether the client still awaits a response, but has closed its connection by now. */
     boolean clientGone() {
         return client != null && client.closedByClient();
     }
 
-    /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
+    /**
+     * Ends the request. The first call returns the client to respond to, unless it has left; all later calls return
+     * null, so that each request gets one response at most.
+     */
     ClientConnection close() {
         ClientConnection waitingClient = client;
         closed = true;
--- a/src/main/java/deckfall/net/RequestReader.java
+++ b/src/main/java/deckfall/net/RequestReader.java
@@ -12,7 +12,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Translates the head of a client's message to a request of the decision module. It keeps nothing of a message. */
+/**
+ * Translates the head of a client's message into a request for the decision module. It retains nothing of a message.
+ */
 final class RequestReader {
     private static final int CUSTOMER_RADIX = 16;
     private static final int CUSTOMER_DIGITS = 16;
@@ -28,11 +30,14 @@
         plans = settings.plans().stream().map(Plan::name).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** A customer's quota header: the request's units and the gateways that may receive the customer. */
+    /** The quota header: the units of the request, and the set of gateways that may receive the customer. */
     private record Quota(double units, int spread, int first) {
         private static final int MISSING = -1;
 
-        /** Throws {@link NumberFormatException} where a number is malformed; what is missing is below nought. */
+        /**
+         * Parses the header; missing values are negative. Throws {@link NumberFormatException} if a number is
+         * malformed.
+         */
         static Quota parse(String header) {
             double units = MISSING;
             int spread = MISSING;
@@ -44,7 +49,7 @@
                     case "units" -> units = Double.parseDouble(value);
                     case "spread" -> spread = Integer.parseInt(value);
                     case "first" -> first = Integer.parseInt(value);
-                    default -> {} // a later version may say more
+                    default -> {} // ignored, as a later version may add more
                 }
             }
             return new Quota(units, spread, first);
@@ -55,7 +60,7 @@
         }
     }
 
-    /** The request as the module knows it, or null where it is missing or has malformed what it must say. */
+    /** Returns the request for the decision module, or null if something that it requires is missing or malformed. */
     Request read(IncomingRequest message, double now) {
         HttpHeaders headers = message.head.headers();
         RequestClass requestClass = classes.get(firstPathSegment(message.uri));
@@ -84,7 +89,7 @@
         }
     }
 
-    /** Whether all headers are there that a request needs, of the right length, and its plan is known. */
+    /** Whether all required headers are present, with valid lengths, and the plan is known. */
     private boolean hasRequiredHeaders(HttpHeaders headers) {
         String id = headers.get(HeaderNames.TRACE_ID);
         String customer = headers.get(HeaderNames.CUSTOMER);
@@ -99,7 +104,7 @@
                 && headers.contains(HeaderNames.QUOTA);
     }
 
-    /** Whether its method is that of its class, and a class of keyed requests has its key. */
+    /** Whether the method matches the class of the request, and a request of a keyed class has its key. */
     private static boolean matchesClass(IncomingRequest message, RequestClass requestClass) {
         boolean repeatable = requestClass.effect() == Effect.REPEATABLE;
         boolean keyed = requestClass.effect() == Effect.KEYED;
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -2,16 +2,19 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** An answer on its way from a host to a client, once its first bytes have gone out: it can't be tried again. */
+/**
+ * Streams a response from a host to a client. As its first bytes have already been sent, the request can't be retried.
+ */
 final class ResponseTransfer {
-    private static final double STALL_TIMEOUT_MS = 20_000; // without a byte from the one or room at the other
+    // Without a byte from the host or room in the client's write buffer
+    private static final double STALL_TIMEOUT_MS = 20_000;
 
-    /** The host's side. */
+    /** The host's side of a transfer. */
     interface Source {
-        /** Whether the answer is to be read on. */
+        /** Resumes or pauses reading the response. */
         void setReading(boolean reading);
 
-        /** The client wants no more of it. */
+        /** Gives the response up, as the client needs no more of it. */
         void abandon();
     }
 
@@ -30,7 +33,7 @@
         this.lastProgressMs = node.clock.now();
     }
 
-    /** Takes over what it is given. */
+    /** Writes a part of the body to the client and takes ownership of the buffer. */
     void write(ByteBuf content) {
         lastProgressMs = node.clock.now();
         if (finished) {
@@ -40,7 +43,7 @@
         }
     }
 
-    /** What was passed leaves, and the host is read on as the client takes it. */
+    /** Flushes what was written, and reads on from the host only while the client takes it. */
     void flush() {
         if (!finished) {
             client.flush();
@@ -54,7 +57,7 @@
         }
     }
 
-    /** The host failed: the client must see that its answer is not whole. */
+    /** Ends the transfer because the host failed. The client must notice that its response is incomplete. */
     void abort() {
         if (markFinished()) {
             node.transferred(requestClass, Metrics.Result.ERROR);
--- a/src/main/java/deckfall/net/StrictRequestDecoder.java
+++ b/src/main/java/deckfall/net/StrictRequestDecoder.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Reads clients' requests, and calls one whose length can be read in two ways malformed. Netty's own reading drops
- * the Content-Length beside chunks, as whoever stands in between may not.
+ * Decodes requests from clients and rejects those whose length is ambiguous. Netty itself drops a Content-Length next
+ * to chunked encoding, which an intermediary must not do.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     private final MessageProgress messageProgress = new MessageProgress();
@@ -26,7 +26,7 @@
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    /** True where bytes have come that are no whole message yet. */
+    /** Whether bytes have been received that do not form a complete message yet. */
     boolean hasPartialMessage() {
         return actualReadableBytes() > 0 || messageProgress.insideMessage();
     }
