--- a/src/main/java/deckfall/net/AcceptRetry.java
+++ b/src/main/java/deckfall/net/AcceptRetry.java
@@ -6,24 +6,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts again a moment after an accept that failed. The connection that it was for stays in the listener's queue with
- * its client's request; without this handler Netty accepts nothing for a second, which is longer than many deadlines.
+ * Accepts again a moment after a failed accept. The connection that could not be accepted stays in the listener's
+ * queue, together with its client's request. Without this handler Netty accepts nothing for a second, which is longer
+ * than many deadlines.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
     static final long RETRY_DELAY_MS = 5;
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final Runnable freeDescriptor;
-    private long lastLoggedNanos; // when the log last told of a failure
+    private long lastLoggedNanos;
     private boolean logged;
     private boolean stopped;
 
-    /** {@code makeRoom} is called after each failure: no descriptor may have been left. */
+    /** {@code freeDescriptor} is called after each failure, as the process may have run out of descriptors. */
     AcceptRetry(Runnable freeDescriptor) {
         this.freeDescriptor = freeDescriptor;
     }
 
-    /** Nothing more is accepted on the channel from here on, on its event loop. */
+    /** Stops accepting on the channel for good. Must be called on its event loop. */
     void stop(Channel listener) {
         stopped = true;
         listener.config().setAutoRead(false);
@@ -33,7 +34,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         logFailure(cause);
         freeDescriptor.run();
-        ctx.channel().config().setAutoRead(false); // else the loop would do nothing but try
+        ctx.channel().config().setAutoRead(false); // otherwise the loop would do nothing but retry
         ctx.executor().schedule(() -> resume(ctx), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/deckfall/net/RetryingServerSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingServerSocketChannel.java
@@ -7,18 +7,22 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listener whose connections outlive calls that fail for a moment, and whose queue can be emptied at its end. */
+/**
+ * A listener whose connections survive transient failures of system calls, and whose accept queue can be emptied before
+ * it is closed.
+ */
 final class RetryingServerSocketChannel extends NioServerSocketChannel {
-    private static final int MAX_READ_ROUNDS = 256; // of a read, which accepts up to 16: no queue is that long
+    // Each read accepts up to 16 connections; no accept queue is longer than all rounds together
+    private static final int MAX_READ_ROUNDS = 256;
 
     private final FailureSpell failures = new FailureSpell();
-    private double queueWaitMs; // for which those in the queue may have waited for calls that failed
-    private boolean queueEmpty; // by the last accept
+    private double queueWaitMs; // how long queued connections may have waited because accepting failed
+    private boolean queueEmpty; // as of the last accept
 
-    /** One that is yet to be bound. */
+    /** Creates a listener that is not bound yet. */
     RetryingServerSocketChannel() {}
 
-    /** One that the platform has bound. */
+    /** Wraps a listener that the platform has bound. */
     RetryingServerSocketChannel(ServerSocketChannel inherited) {
         super(inherited);
     }
@@ -52,7 +56,10 @@
         }
     }
 
-    /** Accepts all that wait, on the event loop; false where the last call failed, so that some may still wait. */
+    /**
+     * Accepts all queued connections. Must be called on the event loop. Returns false if the last call failed, so that
+     * some connections may still be queued.
+     */
     boolean acceptQueued() {
         queueEmpty = !isOpen();
         for (int round = 0; round < MAX_READ_ROUNDS && !queueEmpty && config().isAutoRead(); round++) {
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -8,47 +8,50 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A connection that outlives reads and writes that fail for a moment. Netty takes an interrupted read, which Java tells
- * by a count below -1, for the end of the connection, and closes a connection on any failed read or write.
+ * A connection that survives reads and writes that fail transiently. Netty mistakes an interrupted read, which Java
+ * reports as a count below -1, for the end of the connection, and closes a connection on any failed read or write.
  */
 final class RetryingSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
-    private static final double MAX_FAILING_MS = 1000; // then it counts as broken
+    private static final double MAX_FAILING_MS = 1000; // after this the connection counts as broken
 
-    private final boolean accepted; // from a client, to whom an answer is owed whatever its way back reports
+    private final boolean accepted; // from a client, which is owed a response even while it is reported unreachable
     private double readDelayMs;
     private final FailureSpell readFailures = new FailureSpell();
     private final FailureSpell writeFailures = new FailureSpell();
 
-    /** One that is yet to be connected. */
+    /** Creates a channel that is not connected yet. */
     RetryingSocketChannel() {
         accepted = false;
     }
 
-    /** One that a listener has accepted, after a spell of failures in which it may have waited for so long. */
+    /**
+     * Wraps a socket that a listener has accepted, and that may have waited this long in the queue because accepting
+     * failed.
+     */
     RetryingSocketChannel(Channel listener, SocketChannel socket, double queueWaitMs) {
         super(listener, socket);
         accepted = true;
         readDelayMs = queueWaitMs;
     }
 
-    /** How long the bytes that are being read may have waited, at most, for calls that failed. */
+    /** How long the bytes that are being read may have waited, at most, because calls failed. */
     double readDelayMs() {
         return readDelayMs;
     }
 
-    /** Whether the last read failed for the moment: what has come is not known then. */
+    /** Whether the last read failed transiently, so that it is unknown what has arrived. */
     boolean readFailing() {
         return readFailures.on();
     }
 
-    /** Whether nothing that was written here still waits for the system to take it. */
+    /** Whether the system has taken everything that was written to this channel. */
     boolean allWritten() {
         ChannelOutboundBuffer out = unsafe().outboundBuffer(); // null once closed
         return out == null || out.isEmpty();
     }
 
-    /** What is read from here on has come since. */
+    /** Resets the read delay: bytes that are read from now on have arrived since. */
     void resetReadDelay() {
         readDelayMs = 0;
     }
@@ -65,7 +68,7 @@
             read = super.doReadBytes(to);
         } catch (IOException e) {
             if (isRetried(e, readFailures)) {
-                return 0; // what waits is read in the loop's next turn
+                return 0; // the next iteration of the loop reads again
             }
             throw e;
         }
@@ -85,7 +88,7 @@
             if (!isRetried(e, writeFailures)) {
                 throw e;
             }
-            setOpWrite(); // the rest is written in the loop's next turn
+            setOpWrite(); // the next iteration of the loop writes the rest
             return;
         }
         writeFailures.over();
--- a/src/main/java/deckfall/net/TransientErrors.java
+++ b/src/main/java/deckfall/net/TransientErrors.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Which failed system calls on a connection say nothing of the connection itself, so that the same call may succeed a
- * moment later. Java tells the errors of Linux by their texts alone.
+ * Recognizes failed system calls on a connection that say nothing about the connection itself, so that the same call
+ * may succeed a moment later. Java reports the errors of Linux by their message texts only.
  */
 final class TransientErrors {
     private static final Set<String> SYSTEM_ERROR_MESSAGES = Set.of(
@@ -21,14 +21,15 @@
 
     private TransientErrors() {}
 
-    /** The system lacked something for a moment. */
+    /** Whether the system interrupted the call or lacked a resource for a moment. */
     static boolean isSystemError(IOException e) {
         return SYSTEM_ERROR_MESSAGES.contains(String.valueOf(e.getMessage()));
     }
 
     /**
-     * The peer could not be reached. Where that has ended the connection, the next read finds its end, which must not
-     * be taken for an end that the peer wanted: only who needs no more from the peer may read again.
+     * Whether the remote side could not be reached. If that has ended the connection, the next read reports the end of
+     * the stream, which must not be mistaken for a close by the remote side. Only a caller that needs no more data from
+     * there may therefore read again.
      */
     static boolean isUnreachable(IOException e) {
         return UNREACHABLE_MESSAGES.contains(String.valueOf(e.getMessage()));
