--- a/src/main/java/deckfall/net/ConnectionLimits.java
+++ b/src/main/java/deckfall/net/ConnectionLimits.java
@@ -1,22 +1,23 @@
 package deckfall.net;
 
 /**
- * How many connections from clients the processes of one gateway may hold together, of all their descriptors. Up to the
- * usual number they are kept between requests. Above it idle ones are shed and the others end with their next answer, so
- * that a new connection, which the system has accepted, still gets its answer, of the descriptors that hosts leave.
+ * How many connections the processes of one gateway may hold together, given their descriptors. Up to the keep-alive
+ * limit, client connections stay open between requests. Above it, idle ones are shed and the others are closed with
+ * their next response. A new connection, which the system has already accepted, is then still served, with a descriptor
+ * that hosts leave unused.
  */
 final class ConnectionLimits {
-    static final int DESCRIPTORS_PER_KEPT_CLIENT = 3; // clients may usually hold one descriptor in so many
+    static final int DESCRIPTORS_PER_KEPT_CLIENT = 3; // one descriptor in this many may hold a kept-alive client
 
     private final int maxKeepAlive;
-    private final int sharedDescriptors; // by clients and hosts
+    private final int sharedDescriptors; // available to clients and hosts together
 
     ConnectionLimits(int sockets) {
         maxKeepAlive = maxKeepAlive(sockets);
         sharedDescriptors = sockets - HostClient.reserve(sockets);
     }
 
-    /** The most connections from clients that are kept between requests, where there are so many descriptors. */
+    /** The maximum number of client connections that are kept alive between requests, given this many descriptors. */
     static int maxKeepAlive(int sockets) {
         return sockets / DESCRIPTORS_PER_KEPT_CLIENT;
     }
@@ -25,12 +26,12 @@
         return maxKeepAlive;
     }
 
-    /** The most connections from clients while hosts hold so many. */
+    /** The maximum number of client connections while this many connections to hosts are open. */
     int maxClients(int hostConnections) {
         return Math.max(maxKeepAlive, sharedDescriptors - hostConnections);
     }
 
-    /** The most connections to hosts while clients hold so many. */
+    /** The maximum number of connections to hosts while this many client connections are open. */
     int maxHosts(int clientConnections) {
         return sharedDescriptors - Math.max(maxKeepAlive, clientConnections);
     }
--- a/src/main/java/deckfall/net/Drain.java
+++ b/src/main/java/deckfall/net/Drain.java
@@ -6,26 +6,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Empties a gateway of its clients, for an operator and at its end alike: the front is told no, new connections are
- * served while it learns of that, open ones are told to close with their next answer, and quiet ones are closed.
- * While it goes on, {@link #resume} takes it back.
+ * Drains the clients of a gateway, on an operator's command or at the end of the process. Health checks fail, new
+ * connections are still served until the load balancer in front has noticed, open connections are closed with their
+ * next response, and idle ones are closed without one. {@link #resume} reverts a drain in progress.
  */
 final class Drain {
-    static final long MIN_ACCEPT_MS = 500; // new connections still come, and their requests are not to cross a close
-    static final double MIN_IDLE_MS = 300; // a connection in use is closed with an answer instead, if one comes
-    private static final double KILL_DELAY_MS = 700; // after SIGTERM, and after the longest deadline
-    private static final double MAX_COUNTED_DEADLINE_MS = 3000; // that a deadline counts for there
-    private static final double RESPONSE_MARGIN_MS = 300; // before that, for the answers to reach their clients
-    private static final double LAST_REQUEST_MARGIN_MS =
-            200; // before that, so that who was accepted last can still ask
-    static final double RECONNECT_MS = 100; // a client that finds its connection closed comes on a new one at once
+    static final long MIN_ACCEPT_MS = 500; // new connections still arrive, and a close must not cross their requests
+    // A connection used more recently is closed with its next response, if there is one
+    static final double MIN_IDLE_MS = 300;
+    private static final double KILL_DELAY_MS = 700; // SIGKILL follows SIGTERM by this and the longest deadline
+    // Longer deadlines count as this in the time until SIGKILL
+    private static final double MAX_COUNTED_DEADLINE_MS = 3000;
+    private static final double RESPONSE_MARGIN_MS = 300; // before SIGKILL, for responses to reach their clients
+    // Before the last responses, so that the client accepted last can still send a request
+    private static final double LAST_REQUEST_MARGIN_MS = 200;
+    static final double RECONNECT_MS = 100; // a client whose idle connection was closed reconnects within this time
     private static final long SWEEP_INTERVAL_MS = 50;
 
     private final EventLoop loop;
     private final Clock clock;
     private final ClientServer clients;
     private volatile boolean active;
-    private boolean sweeping; // on the event loop, as all below
+    private boolean sweeping; // used on the event loop only, like everything below
 
     Drain(EventLoop loop, Clock clock, ClientServer clients) {
         this.loop = loop;
@@ -33,11 +35,12 @@
         this.clients = clients;
     }
 
-    /** From any thread: from here on the gateway is no place for clients. */
+    /** Starts the drain; the gateway is no longer ready for clients. May be called from any thread. */
     void begin() {
         active = true;
         if (loop.inEventLoop()) {
-            startSweeping(); // at once: what the loop's caller times from now on is to come after the first sweep
+            // Now, as timers that the caller starts on the loop from here on must fire after the first sweep
+            startSweeping();
         } else {
             loop.execute(this::startSweeping);
         }
@@ -55,8 +58,8 @@
     }
 
     /**
-     * From SIGTERM until all must be answered: SIGKILL comes the longest deadline later and somewhat more, and what
-     * it finds open is lost.
+     * The time from SIGTERM until all requests must be answered. SIGKILL follows SIGTERM by the longest deadline and a
+     * fixed delay, and requests that are still open then are lost.
      */
     static long answerDeadlineMs(Settings settings) {
         double longest = settings.classes().stream()
@@ -66,12 +69,12 @@
         return (long) Math.max(0, Math.min(MAX_COUNTED_DEADLINE_MS, longest) + KILL_DELAY_MS - RESPONSE_MARGIN_MS);
     }
 
-    /** From SIGTERM until nobody new may be let in, however many still come. */
+    /** The time from SIGTERM until no connection may be accepted any more, however many still arrive. */
     static long acceptDeadlineMs(Settings settings) {
         return (long) Math.max(MIN_ACCEPT_MS, answerDeadlineMs(settings) - LAST_REQUEST_MARGIN_MS);
     }
 
-    /** From any thread: clients are taken again at once. */
+    /** Ends the drain; clients are served again at once. May be called from any thread. */
     void resume() {
         active = false;
     }
--- a/src/main/java/deckfall/net/EventLoopLag.java
+++ b/src/main/java/deckfall/net/EventLoopLag.java
@@ -6,20 +6,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * How long bytes that the event loop hands on now may have waited for it, at most. What a turn of the loop finds has come
- * since the turn before looked, unless the loop slept in between; where that turn took long, its client's time went on.
+ * Bounds the time for which bytes that the event loop delivers now may have waited for it. What an iteration of the
+ * loop finds has arrived since the previous iteration polled, unless the loop blocked in between. If the previous
+ * iteration took long, its time counts against the deadlines of the requests that arrived meanwhile.
  */
 final class EventLoopLag implements SelectStrategy {
     private static final double NANOS_PER_MS = 1e6;
-    private static final long MIN_BLOCKED_NANOS = TimeUnit.MILLISECONDS.toNanos(1); // until the first I/O of a turn
+    // From the start of an iteration to its first I/O
+    private static final long MIN_BLOCKED_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final LongSupplier clockNanos;
-    private boolean mayBlock; // this turn may sleep until there is I/O
-    private long iterationStartNanos; // when this turn began
-    private boolean ioHandled; // this turn has handled I/O or a timer
-    private long firstIoNanos; // since then
+    private boolean mayBlock; // this iteration may block until there is I/O
+    private long iterationStartNanos;
+    private boolean ioHandled; // this iteration has handled I/O or a timer
+    private long firstIoNanos; // when this iteration first did
     private boolean previousPollKnown;
-    private long previousPollNanos; // by when the turn before had looked for I/O
+    private long previousPollNanos; // by when the previous iteration had polled for I/O
 
     EventLoopLag() {
         this(System::nanoTime);
@@ -29,7 +31,7 @@
         this.clockNanos = clockNanos;
     }
 
-    /** A turn begins. */
+    /** Starts an iteration. */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
         previousPollKnown = !mayBlock || ioHandled;
@@ -44,7 +46,7 @@
         return mayBlock && firstIoNanos - iterationStartNanos > MIN_BLOCKED_NANOS;
     }
 
-    /** I/O, or a timer, is being handled; how long bytes that are read now may have waited. */
+    /** Records that I/O or a timer is being handled. Returns how long bytes that are read now may have waited. */
     double observeDelayMs() {
         long now = clockNanos.getAsLong();
         if (!ioHandled) {
--- a/src/main/java/deckfall/net/MemoryBudget.java
+++ b/src/main/java/deckfall/net/MemoryBudget.java
@@ -1,6 +1,6 @@
 package deckfall.net;
 
-/** The bytes of bodies and answers that a node holds, and how many it may. */
+/** Accounts for the bytes of request bodies and responses that a node buffers, against a limit. */
 final class MemoryBudget {
     private final long limitBytes;
     private long usedBytes;
@@ -17,12 +17,12 @@
         usedBytes -= bytes;
     }
 
-    /** Nothing more that could wait should be kept. */
+    /** Whether more than half of the limit is used, so that nothing should be buffered that can wait. */
     boolean nearlyExhausted() {
         return usedBytes > limitBytes / 2;
     }
 
-    /** New requests are to be refused. */
+    /** Whether the limit is exceeded, so that new requests are refused. */
     boolean exhausted() {
         return usedBytes > limitBytes;
     }
--- a/src/main/java/deckfall/net/Metrics.java
+++ b/src/main/java/deckfall/net/Metrics.java
@@ -9,13 +9,16 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What this process did since its start, for the operator. The event loop of the data path counts, each thing at
- * the one place where it becomes final; any thread may read.
+ * Metrics for the operator on what this process has done since its start. The event loop of the data path updates them,
+ * each at the one place where the value becomes final; any thread may read them.
  */
 final class Metrics {
     private static final String NAME_PREFIX = "edge_node_";
 
-    /** How a request that was taken, or refused at the door, ended for a client that still waited. */
+    /**
+     * How a request, admitted or refused on arrival, ended for a client that was still waiting. Metric names contain
+     * these names in lower case.
+     */
     enum Result {
         SUCCESS,
         OVERLOAD,
@@ -46,7 +49,7 @@
         results.get(requestClass).get(result).increment();
     }
 
-    /** An attempt's last byte has left for its host. */
+    /** Counts an attempt whose last byte has been sent to its host. */
     void recordDispatch() {
         dispatches.increment();
     }
@@ -59,18 +62,18 @@
         concurrent.decrement();
     }
 
-    /** Requests taken and not yet ended. */
+    /** The number of admitted requests that have not ended. */
     long openRequests() {
         return concurrent.sum();
     }
 
-    /** The hosts on the list, and how many of them the module avoids. */
+    /** Sets the number of hosts on the list, and how many of them the decision module avoids. */
     void targets(int listed, int avoided) {
         targets = listed;
         targetsDisabled = avoided;
     }
 
-    /** One line a figure, each ended by a line feed. */
+    /** All metrics, one per line, each terminated by a line feed. */
     String text() {
         StringBuilder text = new StringBuilder();
         for (Result result : Result.values()) {
--- a/src/main/java/deckfall/net/OperatorServer.java
+++ b/src/main/java/deckfall/net/OperatorServer.java
@@ -20,21 +20,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operator's address: one line a connection, one answer. It has an event loop of its own, so that a busy data
- * path can't delay it, and it waits for nothing: what a call sets going goes on after its answer.
+ * Serves the operator's address: one command line per connection, one response. It has an event loop of its own, so
+ * that a busy data path can't delay it, and it never waits: what a command starts goes on after its response.
  */
 final class OperatorServer {
     private static final int MAX_LINE_BYTES = 256;
-    private static final int MAX_CONNECTIONS = 16; // beyond this the one that has waited longest gives way
-    private static final long LINE_TIMEOUT_MS = 10_000; // for a caller to complete its line
+    private static final int MAX_CONNECTIONS = 16; // beyond this the oldest connection is closed
+    private static final long LINE_TIMEOUT_MS = 10_000; // for a caller to send its complete line
     private static final int BACKLOG = 64;
     private static final String ACK = "ACK";
     private static final String NAK_PREFIX = "NAK ";
     private static final String END_OF_METRICS = "--";
 
-    /** What a caller can ask of a gateway, from any thread. */
+    /** The commands that an operator can give to a gateway. They may be called from any thread. */
     interface Commands {
-        /** Null once clients are taken, else why they are not. */
+        /** Returns null if the gateway is ready for clients, otherwise the reason why it is not. */
         String notReadyReason();
 
         String metrics();
@@ -47,7 +47,7 @@
     private final InetSocketAddress address;
     private final Commands commands;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final LinkedHashSet<Channel> connections = new LinkedHashSet<>(); // longest waiting first
+    private final LinkedHashSet<Channel> connections = new LinkedHashSet<>(); // oldest first
     private Channel listener;
 
     OperatorServer(InetSocketAddress address, Commands commands) {
@@ -78,12 +78,12 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
-        } catch (Exception e) { // netty throws what failed as it is, checked or not
-            throw new IOException("no operator address: " + e.getMessage(), e);
+        } catch (Exception e) { // Netty rethrows the failure as it is, checked or not
+            throw new IOException("can't bind the operator's address: " + e.getMessage(), e);
         }
     }
 
-    /** The port of the listener, where the configuration left it to the system. */
+    /** The port of the listener, which the system has chosen if the configuration has port 0. */
     int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
@@ -110,6 +110,7 @@
         }
     }
 
+    /** Reads the command of one connection and responds to it. */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private Future<?> lineTimeout;
         private boolean responded;
@@ -126,7 +127,7 @@
                     .schedule(
                             () -> {
                                 respondAndClose(ctx, NAK_PREFIX + "no whole line in time");
-                                ctx.close(); // also where the answer is not being read
+                                ctx.close(); // even if the caller does not read the response
                             },
                             LINE_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
@@ -140,7 +141,7 @@
 
         private void respondAndClose(ChannelHandlerContext ctx, String response) {
             if (responded) {
-                return; // one line a connection: what follows it is not read
+                return; // one line per connection: anything behind it is ignored
             }
             responded = true;
             ctx.writeAndFlush(Unpooled.copiedBuffer(response + '\n', StandardCharsets.US_ASCII))
@@ -153,7 +154,7 @@
             connections.remove(ctx.channel());
         }
 
-        /** A line beyond the bound, or a connection that broke. */
+        /** Handles a line that is too long, or a broken connection. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             respondAndClose(ctx, NAK_PREFIX + "no line of at most " + MAX_LINE_BYTES + " bytes");
--- a/src/main/java/deckfall/net/Tally.java
+++ b/src/main/java/deckfall/net/Tally.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** What a node did in a period, for one line of its log; and lines on single requests, a few a period at most. */
+/**
+ * Counts what a node does in a period, for one line in its log. Also logs notes on single requests, a few per period at
+ * most.
+ */
 final class Tally {
     static final long PERIOD_MS = 10_000;
     private static final int MAX_NOTES_PER_PERIOD = 5;
 
-    /** Something counted beside the ends of attempts. */
+    /** Events that are counted besides the outcomes of attempts. */
     enum Count {
         TAKEN,
         SERVED,
@@ -28,9 +31,9 @@
 
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
     private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
-    private final Map<Outcome, Long> counterCalls = new EnumMap<>(Outcome.class); // to the counter
+    private final Map<Outcome, Long> counterCalls = new EnumMap<>(Outcome.class); // to the shared counter
     private final Map<Refusal, Long> refusals = new EnumMap<>(Refusal.class);
-    private final Map<CloseReason, Long> closes = new EnumMap<>(CloseReason.class); // of clients' connections
+    private final Map<CloseReason, Long> closes = new EnumMap<>(CloseReason.class); // of client connections
     private final Map<DispatchRule.Verdict, Long> notSent = new EnumMap<>(DispatchRule.Verdict.class);
     private int notesInPeriod;
 
@@ -58,7 +61,9 @@
         closes.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts it and, while the period has lines left, tells of which request. */
+    /**
+     * Counts the event and logs which request it concerns, unless the period has its maximum number of notes already.
+     */
     void note(Count what, String id, String host, String reason) {
         add(what);
         if (notesInPeriod++ < MAX_NOTES_PER_PERIOD) {
@@ -66,7 +71,7 @@
         }
     }
 
-    /** The period's line, or null where nothing happened; the next period starts from nothing. */
+    /** Returns the line of the period, or null if nothing was counted, and starts the next period from zero. */
     String takeLine() {
         StringJoiner line = new StringJoiner(" ", "tally: ", "").setEmptyValue("");
         counts.forEach((what, count) -> line.add(what + "=" + count));
