--- a/src/test/java/deckfall/net/AcceptRetryTest.java
+++ b/src/test/java/deckfall/net/AcceptRetryTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What waits in a listener's queue, while accepting fails and at the listener's end. */
+/** Tests that connections in a listener's queue survive failed accepts and the close of the listener. */
 class AcceptRetryTest {
     private final AtomicInteger descriptorsFreed = new AtomicInteger();
     private final AcceptRetry retry = new AcceptRetry(descriptorsFreed::incrementAndGet);
@@ -31,7 +31,7 @@
         return listener;
     }
 
-    /** After one failed accept nothing was accepted for a second, and waiting requests ran out of their time. */
+    /** After a failed accept nothing was accepted for a second, and queued requests missed their deadlines. */
     @Test
     void acceptingResumesMillisecondsAfterAFailure() {
         EmbeddedChannel listener = failedListener();
@@ -51,7 +51,7 @@
         assertFalse(listener.config().isAutoRead());
     }
 
-    /** A listener that closed reset the connections that waited in its queue. */
+    /** Closing a listener reset the connections in its queue. */
     @Test
     void allQueuedConnectionsAreAcceptedInOneCall() throws Exception {
         int count = 40; // more than one read accepts
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The end of a process: what SIGKILL would find open is lost, and it comes by the settings' longest deadline. */
+/**
+ * Tests the drain at the end of a process. SIGKILL follows by the longest deadline of the settings, and requests that
+ * are open then are lost.
+ */
 class DrainTest {
     private static final double KILL_DELAY_MS = 700;
     private final Deque<Closeable> closeables = new ArrayDeque<>();
@@ -75,7 +78,10 @@
         return closeLater(new Client(node));
     }
 
-    /** Held, out at a host that hangs, half read in its head or body, not begun: none of it stays open. */
+    /**
+     * Covers a request at a host that hangs, a request read up to a part of its head or body, and connections without a
+     * request.
+     */
     @Test
     void nothingStaysOpenAtTheDrainsEnd() throws Exception {
         Server hangs = closeLater(new Server((m, s) -> {}));
@@ -85,7 +91,7 @@
         Client half = client(node).send("GET /view/x HTT");
         Client body = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
         Client fresh = client(node);
-        Client last = client(node); // what came before is known to have been read once this one is answered
+        Client last = client(node); // once this one is answered, everything sent before has been read
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::answerAll).sync();
@@ -98,7 +104,7 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** Requests that had been sent several at once, and read, were dropped with the first answer in a drain. */
+    /** Pipelined requests that had been read were dropped with the first response in a drain. */
     @Test
     void pipelinedRequestsAreAnsweredInADrain() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -119,7 +125,7 @@
         assertEquals("close", last.header("Connection"));
     }
 
-    /** A request that had come, and that the loop had not read yet, was reset with its idle connection. */
+    /** A request that had arrived, but that the event loop had not read yet, was reset with its idle connection. */
     @Test
     void unreadRequestIsAnsweredAtTheDrainsEnd() throws Exception {
         Node node = node();
@@ -128,7 +134,7 @@
         node.loop
                 .submit(() -> {
                     known.send(viewRequest(
-                            "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
+                            "v", TestEndpoints.TIMEOUT_MS)); // inside a task of the loop, which can't read meanwhile
                     node.drain();
                     node.answerAll();
                     return null;
@@ -137,7 +143,7 @@
         assertEquals(503, known.receive().status());
     }
 
-    /** Answers that the system had not taken yet were lost with their idle connection. */
+    /** Responses that the system had not taken yet were lost with their idle connection. */
     @Test
     void unwrittenResponsesSurviveTheDrainsEnd() throws Exception {
         int count = 150; // more than the system's buffers hold for a client that does not read
@@ -177,7 +183,7 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** In a drain that has gone on for long, whoever comes newly still has time to ask. */
+    /** However long a drain has been going on, a new connection still has time to send a request. */
     @Test
     void newConnectionHasTimeToSendARequestLateInADrain() throws Exception {
         Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
@@ -195,9 +201,9 @@
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.operations().quiesce();
-        node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
+        node.loop.submit(() -> {}).sync(); // the task that wrote the response has read the clock before it is moved
         clock.offsetMs = 10_000;
-        assertNull(idle.receive()); // from here on there is a sweep every 50 ms
+        assertNull(idle.receive()); // from now on there is a sweep every 50 ms
         Client c = client(node);
         node.loop.schedule(() -> {}, 150, TimeUnit.MILLISECONDS).sync();
         assertEquals(
@@ -205,7 +211,10 @@
                 c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
-    /** The listener's end is timed next: were the sweep timed in a later turn, a slow loop would close that first. */
+    /**
+     * The close of the listener is scheduled next. If the sweep were scheduled in a later task, a slow event loop would
+     * close the listener first.
+     */
     @Test
     void firstSweepIsScheduledBeforeBeginReturns() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
--- a/src/test/java/deckfall/net/EventLoopLagTest.java
+++ b/src/test/java/deckfall/net/EventLoopLagTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long bytes may have waited for the event loop, turn by turn. */
+/** Tests how long bytes may have waited for the event loop, iteration by iteration. */
 class EventLoopLagTest {
     private static final boolean TASKS = true;
 
@@ -29,14 +29,17 @@
         assertEquals(0, delay.observeDelayMs());
     }
 
-    /** Requests that came while a turn took long were told to servers with the time that they had waited. */
+    /**
+     * The remaining time that hosts were told for requests that arrived during a long iteration still included the time
+     * waited.
+     */
     @Test
     void bytesMayHaveWaitedForAWholeLongIteration() throws Exception {
         iteration(!TASKS);
         advance(500);
         delay.observeDelayMs();
-        advance(200); // in handling that
-        iteration(!TASKS); // finds I/O at once
+        advance(200); // while handling the I/O
+        iteration(!TASKS); // finds I/O without blocking
         assertEquals(200, delay.observeDelayMs());
         advance(30);
         assertEquals(230, delay.observeDelayMs());
@@ -49,7 +52,7 @@
         iteration(TASKS);
         assertEquals(150, delay.observeDelayMs());
         iteration(!TASKS);
-        advance(300); // slept, or did only what was due
+        advance(300); // blocked, or only ran what was due
         iteration(!TASKS);
         assertEquals(0, delay.observeDelayMs());
     }
--- a/src/test/java/deckfall/net/ManualClock.java
+++ b/src/test/java/deckfall/net/ManualClock.java
@@ -1,6 +1,6 @@
 package deckfall.net;
 
-/** A clock that goes on by itself, or stands where the test has put it. */
+/** A clock that advances by itself unless a test has frozen it at an offset from its start. */
 final class ManualClock extends Clock {
     private final double startMs = super.now();
     volatile boolean frozen;
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -58,7 +58,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node between real sockets: each test is a failure that must not cost a request or break a rule. */
+/**
+ * Tests a node with real sockets on both sides. Each test is a failure that must not lose a request or break a rule.
+ */
 class NodeTest {
     private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
     private static final List<String> LEAK_REPORTS = new CopyOnWriteArrayList<>();
@@ -76,7 +78,7 @@
     };
 
     private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // below the ports that the system gives out
+    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // below the ports that the system assigns
 
     private final Deque<Closeable> closeables = new ArrayDeque<>();
     private DiscoveryServer discovery;
@@ -86,7 +88,7 @@
         LEAK_LOGGER.addHandler(LEAK_RECORDER);
     }
 
-    /** A buffer that was not released shows once it has been collected and another is taken. */
+    /** A buffer that was not released is reported once it has been collected and another one is allocated. */
     @AfterAll
     static void noBufferWasLeaked() {
         for (int i = 0; i < 5; i++) {
@@ -124,14 +126,14 @@
         return node;
     }
 
-    /** The list of before a restart names hosts that drain by now: nothing may be sent there meanwhile. */
+    /** The host list from before a restart may name hosts that drain by now, to which nothing may be sent. */
     @Test
     void noClientIsAcceptedBeforeTheCurrentHostList() throws Exception {
         CompletableFuture<Node> started = new CompletableFuture<>();
         CompletableFuture<Integer> portWhenAsked = new CompletableFuture<>();
         Server discoveryServer = closeLater(new Server((m, s) -> {
             Node node = started.join();
-            node.loop.submit(() -> {}).sync(); // what was begun before the call is done
+            node.loop.submit(() -> {}).sync(); // what was started before the call is done
             portWhenAsked.complete(node.port());
             s.getOutputStream().write(okResponse(hostList(1, true)));
         }));
@@ -144,7 +146,9 @@
         assertNotEquals(0, node.port());
     }
 
-    /** A drain closes idle connections; a request that crosses such an end comes again on a new connection at once. */
+    /**
+     * A drain closes idle connections. A client whose request crosses the close reconnects at once and sends it again.
+     */
     @Test
     void clientReconnectsAfterADrainClosedItsIdleConnection() throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -161,7 +165,9 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** On the node's own loop, so that nothing else of the node can come between the end and the new request. */
+    /**
+     * Runs on the node's event loop, so that nothing else of the node can run between the close and the new request.
+     */
     private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> anew) {
         try {
             if (idle.socket.getInputStream().read() < 0) {
@@ -174,7 +180,10 @@
         }
     }
 
-    /** A signal that nobody heard would leave a gateway deaf to drains for good. */
+    /**
+     * A gateway that missed the reload signal would never learn the new address of discovery, and would miss all drains
+     * of hosts.
+     */
     @Test
     void configurationIsReloadedWhenDiscoveryIsLost(@TempDir Path folder) throws Exception {
         DiscoveryServer old = new DiscoveryServer(hostList(1, true));
@@ -187,7 +196,7 @@
         node.start();
         Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
         old.close();
-        assertNotNull(moved.server.nextRequest(), "not asked at the address of the replaced configuration");
+        assertNotNull(moved.server.nextRequest(), "no call to the address of the replaced configuration");
     }
 
     private Node nodeWithServers(Server... hosts) throws IOException {
@@ -241,7 +250,7 @@
         assertEquals(10, host.requests.size());
     }
 
-    /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
+    /** The request may have run, so the status must not tell the client that a retry is harmless. */
     @Test
     void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
@@ -295,7 +304,7 @@
         assertEquals(2, asked.get());
     }
 
-    /** A line that is no header leaves in doubt what the rest of the answer is. */
+    /** After a malformed header line it is unclear what the rest of the response is. */
     @Test
     void responseWithAMalformedHeaderIsNeverPassedOn() throws Exception {
         Deque<String> lines = new ArrayDeque<>(List.of("no colon here", "no", "X-Pad : 1"));
@@ -315,7 +324,9 @@
         assertEquals(4, host.requests.size());
     }
 
-    /** Requests wait for the bound, so that one goes out on the very connection that an answer has just freed. */
+    /**
+     * Requests wait for the concurrency limit, so that one is sent on the connection that a response has just freed.
+     */
     @Test
     void bytesAfterAResponseReachNoOtherRequest() throws Exception {
         AtomicInteger answered = new AtomicInteger();
@@ -343,10 +354,13 @@
         assertEquals(40, host.requests.size());
     }
 
-    /** The settings only say by when a host closes an idle connection; on many an idle one it does so far earlier. */
+    /**
+     * The settings give only the latest time at which a host closes an idle connection; hosts often close it much
+     * earlier.
+     */
     @Test
     void connectionIdleAsLongAsAResetOneIsNotReused() throws Exception {
-        List<Long> idleNanos = new CopyOnWriteArrayList<>(); // before each request that was reset
+        List<Long> idleNanos = new CopyOnWriteArrayList<>(); // idle time before each request that was reset
         Map<java.net.Socket, Long> answeredAt = new ConcurrentHashMap<>();
         Server host = host((m, s) -> {
             long idle = System.nanoTime() - answeredAt.getOrDefault(s, System.nanoTime());
@@ -366,11 +380,11 @@
                     c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
                             .receive()
                             .text());
-            TimeUnit.MILLISECONDS.sleep(300); // the idle time itself: more of it changes nothing
+            TimeUnit.MILLISECONDS.sleep(300); // the idle time itself, not a wait for an event
         }
         assertTrue(idleNanos.size() > 0);
         for (int i = 1; i < idleNanos.size(); i++) {
-            assertTrue(idleNanos.get(i) < 0.95 * idleNanos.get(i - 1), "reset after " + idleNanos);
+            assertTrue(idleNanos.get(i) < 0.95 * idleNanos.get(i - 1), "idle before each reset, in ns: " + idleNanos);
         }
     }
 
@@ -384,7 +398,7 @@
         assertNotNull(host.closedByPeer.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** What comes after the client's time must reach nobody: not that client, nor the next request. */
+    /** A response after the deadline must reach neither that client nor the next request. */
     @Test
     void lateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
@@ -530,12 +544,12 @@
         String head = got.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
         got.write(in.readNBytes(body.length - (got.size() - head.length() - 4)));
         assertArrayEquals(body, java.util.Arrays.copyOfRange(got.toByteArray(), head.length() + 4, got.size()));
-        assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection goes on
+        assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection stays open
         assertEquals(1, metric(node, "success_total{type=\"view\"}"));
         assertEquals(0, metric(node, "concurrent"));
     }
 
-    /** An end that was announced is one; a reset, or an end out of the blue, is not. */
+    /** A close that the host has announced ends a response; a reset or an unannounced close does not. */
     @Test
     void announcedConnectionCloseEndsAResponse() throws Exception {
         for (int length : List.of(5, 300_000)) {
@@ -557,7 +571,9 @@
         }
     }
 
-    /** Once begun it can't be tried again, and the client must not take what it has for the whole. */
+    /**
+     * A response that has started can't be retried, and the client must not mistake the part that it has for the whole.
+     */
     @Test
     void brokenLongResponseIsResetForTheClient() throws Exception {
         for (String length : List.of("Content-Length: 1000000", "Transfer-Encoding: chunked")) {
@@ -575,7 +591,7 @@
         }
     }
 
-    /** A body beyond what is kept goes to one attempt while it comes, and is not sent again. */
+    /** A body that is too long to be kept is streamed to one attempt and is not sent again. */
     @Test
     void longBodyIsStreamedAndSentOnlyOnce() throws Exception {
         byte[] body = pattern(4_000_000);
@@ -610,7 +626,10 @@
         assertArrayEquals(body, received.get(0));
     }
 
-    /** A peer that says nothing, or never the end of it, is owed a word; one that has asked may stay silent. */
+    /**
+     * A client that sends nothing, or no complete request, gets a response; one that has sent a request may stay
+     * silent.
+     */
     @Test
     void clientWithoutACompleteRequestTimesOut() throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -642,7 +661,7 @@
             idle.add(client(node));
             assertEquals(200, idle.get(i).send(HEALTH_REQUEST).receive().status());
         }
-        assertNull(idle.get(0).receive()); // the longest idle, though not the oldest
+        assertNull(idle.get(0).receive()); // the longest idle one, though not the oldest
         assertEquals("for v ", inside.send(request.substring(30)).receive().text());
     }
 
@@ -662,14 +681,17 @@
             held.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
             assertNotNull(host.nextRequest());
         }
-        assertNull(client(node).receive()); // turned away: every other connection has a request open
+        assertNull(client(node).receive()); // closed, as every other connection has an open request
         crowded.countDown();
         for (int i = 0; i < 4; i++) {
             assertEquals("for v" + i + " ", held.get(i).receive().text());
         }
     }
 
-    /** Clients' new connections were shut unread once both processes of a gateway held the clients' share together. */
+    /**
+     * New client connections were closed without being read once both processes of a gateway together held the clients'
+     * share.
+     */
     @Test
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -698,7 +720,7 @@
         }
     }
 
-    /** The module knows requests by id; a client that sends one again must not take the first one's place. */
+    /** The module identifies requests by id. A request with the id of an open one must not replace it. */
     @Test
     void twoOpenRequestsWithOneIdGetTwoResponses() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
@@ -756,7 +778,10 @@
         assertEquals(0, old.requests.size());
     }
 
-    /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
+    /**
+     * The first calls of a watch whose connection breaks repeatedly: each continues from the version that the node
+     * holds.
+     */
     @Test
     void brokenWatchResumesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
@@ -780,7 +805,7 @@
                         .filter(m -> m.start().contains("from="))
                         .count()
                 < count) {
-            assertTrue(System.nanoTime() < end, "no watch came");
+            assertTrue(System.nanoTime() < end, "no watch call arrived");
             Thread.sleep(5);
         }
     }
@@ -808,7 +833,7 @@
                     from.send(new DatagramPacket(new byte[size], size, to));
                 }
             }
-            // Several customers, since the node itself keeps the books of some of them.
+            // Several customers, as the node itself is the owner of some of them.
             for (int i = 0; i < 8; i++) {
                 String shared = viewRequest("s" + i, TestEndpoints.TIMEOUT_MS)
                         .replace("spread=1", "spread=2")
@@ -834,7 +859,8 @@
         Client idle = client(node);
         assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
-        Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS)); // clients still come for a while
+        // New clients are still served for a while
+        Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS));
         draining.countDown();
         for (Client c : List.of(busy, late)) {
             Message answer = c.receive();
@@ -846,7 +872,9 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
+    /**
+     * Nothing may be left open when the process is killed: requests that still run are failed or refused before that.
+     */
     @Test
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
@@ -860,7 +888,7 @@
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH_REQUEST).receive().status());
         operations.quiesce();
-        operations.quiesce(); // once more changes nothing
+        operations.quiesce(); // a second call changes nothing
         assertEquals("draining", operations.notReadyReason());
         assertEquals(503, client(node).send(HEALTH_REQUEST).receive().status());
         Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
@@ -873,7 +901,7 @@
                 client(node)
                         .send(viewRequest("m", TestEndpoints.TIMEOUT_MS))
                         .receive()
-                        .status()); // served to the end
+                        .status()); // requests are served throughout the drain
         operations.resume();
         operations.resume();
         Client back = client(node);
@@ -917,7 +945,7 @@
         assertEquals(0, metric(node, "error_total{type=\"view\"}"));
         assertEquals(host.requests.size(), metric(node, "dispatches_total"));
         assertEquals(0, metric(node, "concurrent"));
-        while (metric(node, "targets") != 2) { // told on a beat
+        while (metric(node, "targets") != 2) { // updated periodically
             Thread.onSpinWait();
         }
         assertEquals(1, metric(node, "targets_disabled"));
@@ -929,7 +957,7 @@
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
             }
         }
-        throw new AssertionError("no figure " + name);
+        throw new AssertionError("no metric " + name);
     }
 
     @Test
@@ -950,7 +978,9 @@
         return node;
     }
 
-    /** The meter's word is the module's only one on the other gateways' use; 0 means that there was none. */
+    /**
+     * The meter's readings are all that the module learns of the use at other gateways; 0 means that there was none.
+     */
     @Test
     void quotaUseOfAResponseReachesTheModule() throws Exception {
         Deque<String> told = new ArrayDeque<>(List.of(
@@ -975,14 +1005,17 @@
                             .receive()
                             .status());
         }
-        node.loop.submit(() -> {}).sync(); // the client's answer goes out before the module is told
+        node.loop.submit(() -> {}).sync(); // the client's response is sent before the module is called
         assertEquals(List.of(0, 1, 86, 32, 0, 0), heard);
     }
 
-    /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
+    /** The result of a counter call, as the module receives it. */
     private record CounterResult(String name, Outcome outcome, double total) {}
 
-    /** Answers come in the order of the calls; one without a number ends the connection, and calls go on on another. */
+    /**
+     * Replies arrive in the order of the calls. A reply without a number ends the connection, and calls continue on a
+     * new one.
+     */
     @Test
     void counterRepliesReachTheModule() throws Exception {
         java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
@@ -1005,7 +1038,7 @@
         for (String none : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
             java.net.Socket s = closeLater(counter.accept());
             CounterResult refused;
-            do { // until the node knows that it is connected: a call that can't be written is told so at once
+            do { // until the node is connected, as a call that can't be written fails at once
                 node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
                 refused = heard.poll();
             } while (refused != null);
@@ -1032,14 +1065,17 @@
     @Test
     void connectionIsClosedWhenItsRequestThrowsAnError() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
-            throw new AssertionError("made up by the test");
+            throw new AssertionError("thrown by the test");
         }));
         assertNull(client(node)
                 .send(viewRequest("v", TestEndpoints.TIMEOUT_MS / 2))
                 .receive());
     }
 
-    /** Clients and hosts together leave what discovery, the counter, the operator and the process itself need. */
+    /**
+     * Connections to clients and hosts together leave the descriptors that discovery, the counter, the operator and the
+     * process itself need.
+     */
     @Test
     void descriptorsRemainInReserve() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
@@ -1049,11 +1085,12 @@
         assertTrue(HostClient.most(20) > 1);
     }
 
+    /** A request on which the module throws, or that it forgets, is failed and not refused, as it may have run. */
     @Test
     void requestIsAnsweredWhenTheModuleThrows() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
-                throw new IllegalStateException("made up by the test");
+                throw new IllegalStateException("thrown by the test");
             }
             act.refuse(r.id(), 100, Refusal.QUOTA);
         }));
@@ -1062,7 +1099,7 @@
         assertEquals(429, c.send(orderRequest("o", "b")).receive().status());
     }
 
-    /** Only the first final answer goes out; a second one would be taken for the next request's. */
+    /** A second final response would be mistaken for the response to the next request. */
     @Test
     void onlyTheFirstFinalResponseIsSent() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
@@ -1082,7 +1119,7 @@
                 c.send(viewRequest("w", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
-    /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
+    /** Idle clients may not use up the descriptors that others need, nor may a busy connection be closed for them. */
     @Test
     void idleConnectionsAreShedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
@@ -1112,7 +1149,7 @@
         assertEquals("for held ", held.receive().text());
     }
 
-    /** One call that failed at the start, here the bind of an address in use, ended the process. */
+    /** A single failed call during startup, here the bind to an address in use, ended the process. */
     @Test
     void nodeServesOnceItsAddressBecomesFree() throws Exception {
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
--- a/src/test/java/deckfall/net/OperatorServerTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What an operator's caller gets, however other callers behave. */
+/** Tests the responses to an operator's commands, however other callers behave. */
 class OperatorServerTest {
     private static final int MANY_CONNECTIONS = 100;
 
@@ -61,7 +61,7 @@
         return socket;
     }
 
-    /** The whole answer, to the end of the connection. */
+    /** Sends a command and returns the whole response, up to the end of the connection. */
     private String call(String text) throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(TestEndpoints.bytes(text));
@@ -99,9 +99,9 @@
                 s.getOutputStream().write('h');
             }
             assertEquals("ACK\n", call("health\n"));
-            assertEquals(-1, silent.get(0).getInputStream().read()); // the longest waiting gave way
+            assertEquals(-1, silent.get(0).getInputStream().read()); // the oldest connection was closed
         } catch (java.net.SocketException e) {
-            assertEquals("Connection reset", e.getMessage()); // its byte had not been read
+            assertEquals("Connection reset", e.getMessage()); // the byte of the closed connection had not been read
         } finally {
             for (Socket s : silent) {
                 s.close();
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -44,15 +44,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Two events that cross, in the bad order each time: one end of each is in the test's hands. */
+/** Pairs of events that race, each in its harmful order. The test controls one side of each pair. */
 class RaceConditionTest {
-    private static final int MAX_REQUESTS_PER_HOST = 8; // requests for one host; from here on they wait for a place
+    private static final int MAX_REQUESTS_PER_HOST = 8; // further requests for one host are queued
     private final Deque<Closeable> closeables = new ArrayDeque<>();
     private final BlockingQueue<Request> handledRequests =
-            new LinkedBlockingQueue<>(); // after the module has acted on it
+            new LinkedBlockingQueue<>(); // added after the module has acted on them
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> clientsGone =
-            new LinkedBlockingQueue<>(); // whose client the module knows to be gone
+            new LinkedBlockingQueue<>(); // ids of requests whose client the module knows to have left
     private final ManualClock clock = new ManualClock();
     private DiscoveryServer discovery;
 
@@ -74,7 +74,7 @@
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertNotNull(next, "nothing came");
+        assertNotNull(next, "no event within the timeout");
         return next;
     }
 
@@ -83,7 +83,7 @@
         return result.id().equals(id) ? result.outcome() : resultOf(id);
     }
 
-    /** Connections may take as long as requests to come up. */
+    /** Starts a node whose connect timeout is as long as the deadlines of requests. */
     private Node node(Function<Actions, Events> module, UnaryOperator<String> configChange, String... entries)
             throws IOException {
         discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
@@ -109,7 +109,7 @@
                 results::add);
     }
 
-    /** The module itself, with what it was told of noted once it has acted on it. */
+    /** The real module, with some of its events recorded after it has acted on them. */
     private Events recorded(Actions act) {
         DecisionModule brain = new DecisionModule(act);
         return (Events) Proxy.newProxyInstance(
@@ -125,7 +125,9 @@
                 });
     }
 
-    /** The first byte counts: it would go to a draining host whenever the connection comes up. */
+    /**
+     * The first byte of a request counts: it would be sent to a draining host as soon as the connection is established.
+     */
     @Test
     void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
         for (String state : new String[] {"draining", "gone"}) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /** The same where a host has restarted, or has left the list without a word. */
+    /** The same for a host that has restarted, or that is missing from a new list. */
     @Test
     void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
         String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
@@ -156,7 +158,10 @@
         }
     }
 
-    /** Settings that forbid to cancel speak of what has been sent; what has not must not be, for nobody. */
+    /**
+     * Settings that forbid cancelling apply to requests that were sent. An unsent request must not be sent once its
+     * client has left.
+     */
     @Test
     void requestIsNotSentIfItsClientLeavesBeforeTheHostConnects() throws Exception {
         for (String cancel : new String[] {"true", "false"}) {
@@ -179,7 +184,10 @@
         }
     }
 
-    /** An attempt left for a client that had gone, since its connection came up in the same turn of a busy loop. */
+    /**
+     * An attempt was sent for a client that had left, as the connection to the host was established in the same
+     * iteration of a busy event loop.
+     */
     @Test
     void attemptIsNotSentIfItsClientLeavesWhileTheHostConnects() throws Exception {
         UnreachableServer slow = closeLater(new UnreachableServer());
@@ -196,7 +204,10 @@
         }
     }
 
-    /** A request that was sent behind another told its server the time from when its turn came. */
+    /**
+     * The host was told the remaining time of a pipelined request as if the client had sent it only when the request
+     * before it ended.
+     */
     @Test
     void pipelinedRequestLosesTheTimeItWaited() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -216,7 +227,10 @@
         assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
     }
 
-    /** A server was told the time that its client had waited for a loop that was held up. */
+    /**
+     * The remaining time that a host was told still included the time for which the request had waited for a busy event
+     * loop.
+     */
     @Test
     void requestLosesTheTimeItWaitedForABusyEventLoop() throws Exception {
         int heldMs = 400;
@@ -242,7 +256,7 @@
         assertTrue(toldMs <= TestEndpoints.TIMEOUT_MS - heldMs / 2, toldMs + " ms");
     }
 
-    /** It holds its place in the queue no longer, and none at a host. */
+    /** Such a request occupies neither the queue nor a host any more. */
     @Test
     void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -261,14 +275,17 @@
         gone.close();
         assertEquals("gone", next(clientsGone));
         go.countDown();
-        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b"))); // behind the one that left
+        // Queued behind the one whose client left
+        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b")));
         for (int i = 0; i <= MAX_REQUESTS_PER_HOST; i++) {
             assertEquals("for o" + i, clients.get(i).receive().text());
         }
         assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
     }
 
-    /** A connection that never came up proves that nothing has run, also where the client's time ends it. */
+    /**
+     * A connection that was never established proves that nothing has run, even if the request ends at its deadline.
+     */
     @Test
     void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
         UnreachableServer slow = closeLater(new UnreachableServer());
@@ -279,7 +296,7 @@
         assertEquals(Outcome.CONNECT_FAILED, next(results).outcome());
     }
 
-    /** The copy comes once the next request has been written, on whichever connection that took. */
+    /** The duplicate arrives once the next request has been written, whichever connection that one uses. */
     @Test
     void lateDuplicateResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
@@ -295,7 +312,7 @@
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-        clock.offsetMs = 25; // so much later than the first one a copy has been seen
+        clock.offsetMs = 25; // duplicates have been seen this long after the first response
         assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
     }
 
@@ -312,12 +329,12 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     "for o" + i, c.send(orderRequest("o" + i, "b")).receive().text());
-            clock.offsetMs += 45; // less than the shortest time for which a connection is trusted
+            clock.offsetMs += 45; // less than the shortest idle time after which a connection is no longer reused
         }
         assertEquals(1, used.size());
     }
 
-    /** What has come of a second answer is taken in at once; its rest comes once the next request has been written. */
+    /** The start of a second response is received at once; its rest arrives once the next request has been written. */
     @Test
     void partialSecondResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
@@ -340,7 +357,7 @@
             Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-            clock.offsetMs += 45; // the connection has rested, and would be trusted
+            clock.offsetMs += 45; // the connection has rested, and would be reused
             assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
         }
     }
@@ -349,11 +366,11 @@
         try {
             s.getOutputStream().write(bytes(text));
         } catch (IOException e) {
-            // the other side has given it up, as it should
+            // the other side has closed it, as it should
         }
     }
 
-    /** A head that stops behind a whole line is as little a request as one that stops inside a line. */
+    /** A head that stops after a complete line is as incomplete as one that stops inside a line. */
     @Test
     void laterRequestThatStopsAfterAWholeLineTimesOut() throws Exception {
         clock.frozen = true;
@@ -364,7 +381,7 @@
         c.send("\r\nGET /view/x HTTP/1.1\r\n");
         Client other = client(node);
         assertEquals(
-                "for two", other.send(orderRequest("two", "b")).receive().text()); // what came before has been read
+                "for two", other.send(orderRequest("two", "b")).receive().text()); // what was sent before has been read
         clock.offsetMs = 2600;
         assertEquals(408, c.receive().status());
         assertEquals(
@@ -372,7 +389,10 @@
                 other.send("\r\n" + orderRequest("three", "b")).receive().text());
     }
 
-    /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
+    /**
+     * A client that has not completed its first request gets a response within 3 s of connecting, however late its head
+     * arrived.
+     */
     @Test
     void firstRequestTimesOutFromTheConnectOn() throws Exception {
         clock.frozen = true;
@@ -388,7 +408,7 @@
         assertEquals(408, stranger.receive().status());
     }
 
-    /** A module that sends nothing on, and notes whose client has left. */
+    /** A module that sends nothing and records whose client has left. */
     private Function<Actions, Events> holdingModule() {
         return act -> new ScriptedModule((now, r) -> handledRequests.add(r)) {
             @Override
@@ -402,7 +422,9 @@
         return node.loop.submit(node.room::usedBytes).get();
     }
 
-    /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
+    /**
+     * While reading is paused, a close is not noticed, and waiting requests would be sent for a client that has left.
+     */
     @Test
     void clientCloseIsNoticedBehindUnprocessedData() throws Exception {
         String large = orderRequest(
@@ -419,7 +441,7 @@
         assertTrue(handledRequests.isEmpty());
     }
 
-    /** Memory is bounded, so that whoever sends too much to be read on while its request waits is told no. */
+    /** Memory is bounded, so a client that sends too much to be read while its request waits is refused. */
     @Test
     void clientThatSendsTooMuchAheadIsRefused() throws Exception {
         Node node = node(holdingModule(), c -> c);
@@ -432,7 +454,7 @@
             try {
                 flood.send(orderRequest("flood", "b").repeat(50_000));
             } catch (IOException e) {
-                // ended by the other side, as it should
+                // closed by the other side, as it should be
             }
         });
         sending.start();
@@ -443,7 +465,10 @@
         assertEquals(0, memoryUsed(node));
     }
 
-    /** What has come is heard of only after the turn in which the module acts; so late it is a break. */
+    /**
+     * The event loop notices a close only after the task in which the module acts. An attempt sent by then would break
+     * a rule.
+     */
     @Test
     void noAttemptStartsIfItsClientLeftWhileTheLoopWasBusy() throws Exception {
         CountDownLatch[] gone = {new CountDownLatch(1), new CountDownLatch(1)};
--- a/src/test/java/deckfall/net/ScriptedModule.java
+++ b/src/test/java/deckfall/net/ScriptedModule.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** A module that does only what a test says of a request. */
+/** A decision module that only runs what a test supplies. */
 class ScriptedModule implements Events {
     private final BiConsumer<Double, Request> onRequest;
     private final Consumer<AttemptResult> onAttemptEnded;
--- a/src/test/java/deckfall/net/TallyTest.java
+++ b/src/test/java/deckfall/net/TallyTest.java
@@ -7,7 +7,7 @@
 import deckfall.Gateway.Refusal;
 import org.junit.jupiter.api.Test;
 
-/** The line that a node's log gets for each period. */
+/** Tests the log line of a period. */
 class TallyTest {
     @Test
     void eachPeriodIsOneLineAndStartsFromZero() {
--- a/src/test/java/deckfall/net/TestEndpoints.java
+++ b/src/test/java/deckfall/net/TestEndpoints.java
@@ -23,14 +23,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The other ends of a node's sockets, on ports that the system chooses. */
+/**
+ * Clients, hosts and a discovery service for tests of a node, on ports that the system chooses, and the messages that
+ * they exchange.
+ */
 final class TestEndpoints {
-    private static final int CONNECTIONS_IN_QUEUE_OF_ONE = 2; // connections that a queue of one takes
-    static final int TIMEOUT_MS = 30_000; // how long a test waits for what must come
+    // Connections that fit in an accept queue with a backlog of one
+    private static final int CONNECTIONS_IN_QUEUE_OF_ONE = 2;
+    static final int TIMEOUT_MS = 30_000; // how long a test waits for an expected event
 
     private TestEndpoints() {}
 
-    /** An HTTP message as it came over a socket; {@code whole} is false where the connection ended inside it. */
+    /** An HTTP message as received from a socket. */
     record Message(String start, Map<String, String> headers, byte[] body) {
         int status() {
             return Integer.parseInt(start.split(" ")[1]);
@@ -45,7 +49,7 @@
         }
     }
 
-    /** The next message, or null where the connection ends before or inside it. */
+    /** Reads the next message. Returns null if the connection ends before or inside it. */
     static Message readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -76,16 +80,17 @@
         return bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** What a server does with a request; it may keep the socket, write to it or close it. */
+    /** What a server does with a request. It may keep the socket, write to it or close it. */
     interface RequestHandler {
         void handle(Message request, Socket socket) throws IOException, InterruptedException;
     }
 
-    /** A server that notes what it is asked and answers by script. */
+    /** A server that records the requests it receives and passes them to a handler. */
     static final class Server implements Closeable {
         final List<Message> requests = new CopyOnWriteArrayList<>();
         final BlockingQueue<Message> pendingRequests = new LinkedBlockingQueue<>();
-        final BlockingQueue<Socket> closedByPeer = new LinkedBlockingQueue<>(); // connections that the other side ended
+        // Connections that the other side has closed
+        final BlockingQueue<Socket> closedByPeer = new LinkedBlockingQueue<>();
         private final ServerSocket listener;
         private final List<Socket> connections = new CopyOnWriteArrayList<>();
         private final RequestHandler handler;
@@ -126,7 +131,7 @@
                     handler.handle(m, s);
                 }
             } catch (IOException | InterruptedException e) {
-                // ended either way
+                // the connection has ended either way
             }
             closedByPeer.add(s);
         }
@@ -144,7 +149,7 @@
         }
     }
 
-    /** A server whose machine lets no connection come up: its queue of those that nobody accepts is full. */
+    /** A server to which no connection can be established, as its accept queue is full. */
     static final class UnreachableServer implements Closeable {
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<SocketChannel> queueFillers = new ArrayList<>();
@@ -161,7 +166,7 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        /** The next connection that came up, after those that filled the queue. */
+        /** Accepts the next connection after those that filled the queue. */
         Socket accept() throws IOException {
             for (SocketChannel c : queueFillers) {
                 c.close();
@@ -180,7 +185,7 @@
         }
     }
 
-    /** Discovery: one list, and watches that hold until a further answer is put in. */
+    /** A discovery service with one full list, and watches that wait until an update is added. */
     static final class DiscoveryServer implements Closeable {
         final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         final Server server;
@@ -209,7 +214,7 @@
                 + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    /** A client's connection. */
+    /** A client's connection to a node. */
     static final class Client implements Closeable {
         final Socket socket;
 
@@ -247,7 +252,7 @@
                 + "\r\nX-Quota: units=1,spread=1,first=0\r\n";
     }
 
-    /** A node's configuration with one class that is safe to repeat and one keyed. */
+    /** The configuration of a node with one repeatable and one keyed class of requests. */
     static String config(String discovery, String peerListen, String... peers) {
         List<String> quoted = new ArrayList<>();
         for (String p : peers) {
