--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -84,32 +84,32 @@
      */
     @Test
     void nothingStaysOpenAtTheDrainsEnd() throws Exception {
-        Server hangs = closeLater(new Server((m, s) -> {}));
-        Node node = node(hostEntry("h0", hangs.address(), "ready"));
-        Client out = client(node).send(orderRequest("out", "b"));
-        assertNotNull(hangs.nextRequest());
-        Client half = client(node).send("GET /view/x HTT");
-        Client body = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
-        Client fresh = client(node);
+        Server hangingHost = closeLater(new Server((m, s) -> {}));
+        Node node = node(hostEntry("h0", hangingHost.address(), "ready"));
+        Client sent = client(node).send(orderRequest("out", "b"));
+        assertNotNull(hangingHost.nextRequest());
+        Client partialHead = client(node).send("GET /view/x HTT");
+        Client partialBody = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
+        Client unused = client(node);
         Client last = client(node); // once this one is answered, everything sent before has been read
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::answerAll).sync();
-        assertEquals(502, out.receive().status());
-        assertEquals(503, body.receive().status());
-        for (Client c : new Client[] {half, fresh, last, out}) {
+        assertEquals(502, sent.receive().status());
+        assertEquals(503, partialBody.receive().status());
+        for (Client c : new Client[] {partialHead, unused, last, sent}) {
             assertNull(c.receive());
         }
-        body.close();
+        partialBody.close();
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
     /** Pipelined requests that had been read were dropped with the first response in a drain. */
     @Test
     void pipelinedRequestsAreAnsweredInADrain() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            assertTrue(go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(release.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             s.getOutputStream().write(TestEndpoints.okResponse(m.header("X-Trace-Id")));
         }));
         Node node = node(hostEntry("h0", host.address(), "ready"));
@@ -117,7 +117,7 @@
         Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
         assertNotNull(host.nextRequest());
         node.operations().quiesce();
-        go.countDown();
+        release.countDown();
         assertEquals("one", c.receive().text());
         assertEquals("two", c.receive().text());
         Message last = c.receive();
@@ -174,12 +174,12 @@
     @Test
     void queuedRequestIsRefusedAtTheDrainsEnd() throws Exception {
         Node node = node();
-        Client held = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
+        Client queued = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::answerAll).sync();
-        assertEquals(503, held.receive().status());
+        assertEquals(503, queued.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -130,11 +130,11 @@
     @Test
     void noClientIsAcceptedBeforeTheCurrentHostList() throws Exception {
         CompletableFuture<Node> started = new CompletableFuture<>();
-        CompletableFuture<Integer> portWhenAsked = new CompletableFuture<>();
+        CompletableFuture<Integer> portDuringDiscovery = new CompletableFuture<>();
         Server discoveryServer = closeLater(new Server((m, s) -> {
             Node node = started.join();
             node.loop.submit(() -> {}).sync(); // what was started before the call is done
-            portWhenAsked.complete(node.port());
+            portDuringDiscovery.complete(node.port());
             s.getOutputStream().write(okResponse(hostList(1, true)));
         }));
         String config = TestEndpoints.config(discoveryServer.address(), "127.0.0.1:0");
@@ -142,7 +142,7 @@
         closeables.push(node::stop);
         started.complete(node);
         node.start();
-        assertEquals(0, portWhenAsked.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(0, portDuringDiscovery.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertNotEquals(0, node.port());
     }
 
@@ -157,10 +157,10 @@
                 200,
                 idle.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
         idle.socket.setSoTimeout(1);
-        CompletableFuture<Client> anew = new CompletableFuture<>();
+        CompletableFuture<Client> reconnected = new CompletableFuture<>();
         node.loop.execute(node::drain);
-        node.loop.execute(() -> reconnectOnceClosed(node, idle, anew));
-        Client second = anew.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        node.loop.execute(() -> reconnectOnceClosed(node, idle, reconnected));
+        Client second = reconnected.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(200, second.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
@@ -168,15 +168,15 @@
     /**
      * Runs on the node's event loop, so that nothing else of the node can run between the close and the new request.
      */
-    private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> anew) {
+    private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> reconnected) {
         try {
             if (idle.socket.getInputStream().read() < 0) {
-                anew.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
+                reconnected.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
             }
         } catch (SocketTimeoutException e) { // still open
-            node.loop.schedule(() -> reconnectOnceClosed(node, idle, anew), 1, TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> reconnectOnceClosed(node, idle, reconnected), 1, TimeUnit.MILLISECONDS);
         } catch (IOException e) {
-            anew.completeExceptionally(e);
+            reconnected.completeExceptionally(e);
         }
     }
 
@@ -739,7 +739,7 @@
     @Test
     void drainingHostGetsNoNewRequestsAndAMovedHostIsFollowed() throws Exception {
         Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
+        Server movedTo = host(NodeTest::echo);
         Node node = nodeWithServers(old);
         Client c = client(node);
         assertEquals(
@@ -748,7 +748,7 @@
         awaitDiscoveryWatches(1);
         discovery.updates.add(hostList(
                 2, false, hostEntry("h0", old.address(), "draining"), hostEntry("h1", REFUSING_ADDRESS, "ready")));
-        discovery.updates.add(hostList(3, false, hostEntry("h1", fresh.address(), "ready")));
+        discovery.updates.add(hostList(3, false, hostEntry("h1", movedTo.address(), "ready")));
         awaitDiscoveryWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(
@@ -758,7 +758,7 @@
                             .status());
         }
         assertEquals(1, old.requests.size());
-        assertEquals(5, fresh.requests.size());
+        assertEquals(5, movedTo.requests.size());
     }
 
     @Test
@@ -821,11 +821,11 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
-            String mine = "127.0.0.1:" + port;
+            String nodeAddress = "127.0.0.1:" + port;
             Server host = host(NodeTest::echo);
             discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-            Node node = TestEndpoints.node(
-                    TestEndpoints.config(discovery.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            Node node = TestEndpoints.node(TestEndpoints.config(
+                    discovery.server.address(), nodeAddress, nodeAddress, "127.0.0.1:" + peer.getLocalPort()));
             closeables.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (DatagramSocket from : List.of(stranger, peer)) {
@@ -841,9 +841,9 @@
                 assertEquals(200, client(node).send(shared).receive().status());
             }
             peer.setSoTimeout(TestEndpoints.TIMEOUT_MS);
-            DatagramPacket told = new DatagramPacket(new byte[1000], 1000);
-            peer.receive(told);
-            assertTrue(told.getLength() > 0 && told.getLength() <= 256);
+            DatagramPacket received = new DatagramPacket(new byte[1000], 1000);
+            peer.receive(received);
+            assertTrue(received.getLength() > 0 && received.getLength() <= 256);
         }
     }
 
@@ -904,13 +904,13 @@
                         .status()); // requests are served throughout the drain
         operations.resume();
         operations.resume();
-        Client back = client(node);
-        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
-        assertNull(back.send(HEALTH_REQUEST).receive().header("Connection"));
+        Client resumed = client(node);
+        assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
+        assertNull(resumed.send(HEALTH_REQUEST).receive().header("Connection"));
         operations.quiesce();
         operations.resume(); // before the first sweep
         assertNull(operations.notReadyReason());
-        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
+        assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
@@ -983,18 +983,18 @@
      */
     @Test
     void quotaUseOfAResponseReachesTheModule() throws Exception {
-        Deque<String> told = new ArrayDeque<>(List.of(
+        Deque<String> headerLines = new ArrayDeque<>(List.of(
                 "",
                 "X-Quota-Used: 0\r\n",
                 "X-Quota-Used: 85\r\n",
                 "X-Quota-Used: TEXT ?\r\nX-Quota-Used: 31\r\n",
                 "X-Quota-Used: %%%\r\n",
                 "X-Quota-Used: -7\r\n"));
-        Server host = host((m, s) ->
-                s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + told.poll() + "Content-Length: 0\r\n\r\n")));
-        List<Integer> heard = new CopyOnWriteArrayList<>();
+        Server host = host((m, s) -> s.getOutputStream()
+                .write(bytes("HTTP/1.1 200 OK\r\n" + headerLines.poll() + "Content-Length: 0\r\n\r\n")));
+        List<Integer> readings = new CopyOnWriteArrayList<>();
         Node node = nodeWithModule(
-                act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
+                act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> readings.add(r.meterReading())),
                 hostEntry("h0", host.address(), "ready"));
         awaitDiscoveryWatches(1);
         Client c = client(node);
@@ -1006,7 +1006,7 @@
                             .status());
         }
         node.loop.submit(() -> {}).sync(); // the client's response is sent before the module is called
-        assertEquals(List.of(0, 1, 86, 32, 0, 0), heard);
+        assertEquals(List.of(0, 1, 86, 32, 0, 0), readings);
     }
 
     /** The result of a counter call, as the module receives it. */
@@ -1019,7 +1019,7 @@
     @Test
     void counterRepliesReachTheModule() throws Exception {
         java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
-        java.util.concurrent.BlockingQueue<CounterResult> heard = new java.util.concurrent.LinkedBlockingQueue<>();
+        java.util.concurrent.BlockingQueue<CounterResult> results = new java.util.concurrent.LinkedBlockingQueue<>();
         Actions[] acts = new Actions[1];
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
         String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
@@ -1030,17 +1030,17 @@
             return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
-                    heard.add(new CounterResult(name, outcome, total));
+                    results.add(new CounterResult(name, outcome, total));
                 }
             };
         });
         closeables.push(node::stop);
-        for (String none : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
+        for (String notANumber : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
             java.net.Socket s = closeLater(counter.accept());
             CounterResult refused;
             do { // until the node is connected, as a call that can't be written fails at once
                 node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
-                refused = heard.poll();
+                refused = results.poll();
             } while (refused != null);
             node.loop.submit(() -> acts[0].addToCounter("u2", -1, 4000)).sync();
             String call = "*4\r\n$6\r\nADDGET\r\n$2\r\nu1\r\n$3\r\n2.5\r\n$4\r\n4000\r\n";
@@ -1049,16 +1049,16 @@
                     new String(
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
             node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
-            s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + none + "\r\n"));
+            s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + notANumber + "\r\n"));
             assertEquals(
                     new CounterResult("u1", Outcome.OK, 7.5),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(
                     new CounterResult("u2", Outcome.FULL, 0),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(
                     new CounterResult("u3", Outcome.RESET, 0),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -110,18 +110,18 @@
     }
 
     /** The real module, with some of its events recorded after it has acted on them. */
-    private Events recorded(Actions act) {
-        DecisionModule brain = new DecisionModule(act);
+    private Events recorded(Actions actions) {
+        DecisionModule engine = new DecisionModule(actions);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
-                    Object answer = method.invoke(brain, args);
+                    Object result = method.invoke(engine, args);
                     switch (method.getName()) {
                         case "requestReceived" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
                         case "clientDisconnected" -> clientsGone.add((String) args[1]);
                         default -> {}
                     }
-                    return answer;
+                    return result;
                 });
     }
 
@@ -177,9 +177,10 @@
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
             client(node).send(orderRequest("p", "b"));
             next(handledRequests);
-            try (Socket came = slow.accept()) {
+            try (Socket hostSocket = slow.accept()) {
                 assertEquals(
-                        "p", TestEndpoints.readMessage(came.getInputStream()).header("X-Trace-Id"));
+                        "p",
+                        TestEndpoints.readMessage(hostSocket.getInputStream()).header("X-Trace-Id"));
             }
         }
     }
@@ -194,13 +195,13 @@
         Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
         Client c = client(node).send(orderRequest("o", "b"));
         next(handledRequests);
-        CountDownLatch go = new CountDownLatch(1);
-        node.loop.execute(() -> await(go));
-        try (Socket came = slow.accept()) {
+        CountDownLatch release = new CountDownLatch(1);
+        node.loop.execute(() -> await(release));
+        try (Socket hostSocket = slow.accept()) {
             c.close();
-            go.countDown();
+            release.countDown();
             assertEquals(Outcome.MOOT, resultOf("o"));
-            assertNull(TestEndpoints.readMessage(came.getInputStream()));
+            assertNull(TestEndpoints.readMessage(hostSocket.getInputStream()));
         }
     }
 
@@ -210,9 +211,9 @@
      */
     @Test
     void pipelinedRequestLosesTheTimeItWaited() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            await(go);
+            await(release);
             echo(m, s);
         }));
         Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
@@ -222,7 +223,7 @@
         assertNotNull(host.nextRequest());
         node.loop.submit(() -> {}).sync(); // both have been read
         clock.offsetMs = ms / 2;
-        go.countDown();
+        release.countDown();
         assertEquals("for first", c.receive().text());
         assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
     }
@@ -233,14 +234,14 @@
      */
     @Test
     void requestLosesTheTimeItWaitedForABusyEventLoop() throws Exception {
-        int heldMs = 400;
-        CountDownLatch held = new CountDownLatch(1);
+        int busyMs = 400;
+        CountDownLatch loopBusy = new CountDownLatch(1);
         Server host = closeLater(new Server(RaceConditionTest::echo));
         Node node = node(
                 act -> new ScriptedModule((now, r) -> {
                     if (r.id().equals("first")) {
-                        held.countDown();
-                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(heldMs));
+                        loopBusy.countDown();
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(busyMs));
                     }
                     act.send(r.id(), "h0", 0);
                 }),
@@ -249,19 +250,19 @@
         Client first = client(node);
         Client second = client(node);
         first.send(TestEndpoints.viewRequest("first", TestEndpoints.TIMEOUT_MS));
-        await(held);
+        await(loopBusy);
         second.send(TestEndpoints.viewRequest("second", TestEndpoints.TIMEOUT_MS));
         assertEquals("first", host.nextRequest().header("X-Trace-Id"));
-        int toldMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
-        assertTrue(toldMs <= TestEndpoints.TIMEOUT_MS - heldMs / 2, toldMs + " ms");
+        int forwardedMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
+        assertTrue(forwardedMs <= TestEndpoints.TIMEOUT_MS - busyMs / 2, forwardedMs + " ms");
     }
 
     /** Such a request occupies neither the queue nor a host any more. */
     @Test
     void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            release.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         }));
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
@@ -274,7 +275,7 @@
         next(handledRequests);
         gone.close();
         assertEquals("gone", next(clientsGone));
-        go.countDown();
+        release.countDown();
         // Queued behind the one whose client left
         clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b")));
         for (int i = 0; i <= MAX_REQUESTS_PER_HOST; i++) {
@@ -290,9 +291,9 @@
     void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
         UnreachableServer slow = closeLater(new UnreachableServer());
         Node node = node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
-        String soon =
+        String shortDeadline =
                 orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
-        assertEquals(429, client(node).send(soon).receive().status());
+        assertEquals(429, client(node).send(shortDeadline).receive().status());
         assertEquals(Outcome.CONNECT_FAILED, next(results).outcome());
     }
 
@@ -338,7 +339,7 @@
     @Test
     void partialSecondResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
-        for (String begun : new String[] {
+        for (String partialResponse : new String[] {
             "HTTP/1.1 200 OK\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le",
             "left over",
@@ -348,7 +349,8 @@
             Server host = closeLater(new Server((m, s) -> {
                 if (first.compareAndSet(null, s)) {
                     s.getOutputStream()
-                            .write(bytes(new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + begun));
+                            .write(bytes(
+                                    new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + partialResponse));
                     return;
                 }
                 writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
