--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -59,7 +59,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests a node with real sockets on both sides. Each test is a failure that must not lose a request or break a rule.
+ * Tests a node with real sockets on both sides. Each test causes a failure that must neither lose a request nor break a rule.
  */
 class NodeTest {
     private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
@@ -872,9 +872,6 @@
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /**
-     * Nothing may be left open when the process is killed: requests that still run are failed or refused before that.
-     */
     @Test
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
@@ -960,6 +957,9 @@
         throw new AssertionError("no metric " + name);
     }
 
+    /**
+     * Nothing may be left open when the process is killed: requests that still run are failed or refused before that.
+     */
     @Test
     void drainEndsRequestsThatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -48,11 +48,11 @@
 class RaceConditionTest {
     private static final int MAX_REQUESTS_PER_HOST = 8; // further requests for one host are queued
     private final Deque<Closeable> closeables = new ArrayDeque<>();
-    private final BlockingQueue<Request> handledRequests =
-            new LinkedBlockingQueue<>(); // added after the module has acted on them
+    // Requests, added after the module has acted on them
+    private final BlockingQueue<Request> handledRequests = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> clientsGone =
-            new LinkedBlockingQueue<>(); // ids of requests whose client the module knows to have left
+    // Ids of requests whose client has left, added after the module has acted on that
+    private final BlockingQueue<String> clientsGone = new LinkedBlockingQueue<>();
     private final ManualClock clock = new ManualClock();
     private DiscoveryServer discovery;
 
@@ -468,8 +468,8 @@
     }
 
     /**
-     * The event loop notices a close only after the task in which the module acts. An attempt sent by then would break
-     * a rule.
+     * The event loop notices a close only after the task in which the module acts. An attempt that starts before that
+     * would be sent for a client that has left.
      */
     @Test
     void noAttemptStartsIfItsClientLeftWhileTheLoopWasBusy() throws Exception {
