--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -111,8 +111,8 @@
         return closeable;
     }
 
-    private Server host(TestEndpoints.RequestHandler answer) throws IOException {
-        return closeLater(new Server(answer));
+    private Server host(TestEndpoints.RequestHandler handler) throws IOException {
+        return closeLater(new Server(handler));
     }
 
     private static void echo(Message m, java.net.Socket s) throws IOException {
@@ -222,9 +222,9 @@
             s.getOutputStream().write(body);
         });
         Client c = client(nodeWithServers(host));
-        Message answer = c.send(orderRequest("id-1", "two copies")).receive();
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        Message response = c.send(orderRequest("id-1", "two copies")).receive();
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
         Message sent = host.nextRequest();
         assertEquals("POST /order/x HTTP/1.1", sent.start());
         assertEquals("id-1", sent.header("X-Trace-Id"));
@@ -266,10 +266,10 @@
     void requestThatNeverRanIsRefusedWithRetryAfter() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer =
+        Message response =
                 client(nodeWithServers(host)).send(orderRequest("o", "b")).receive();
-        assertEquals(429, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        assertEquals(429, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
     }
 
     @Test
@@ -278,17 +278,17 @@
         Client c = client(nodeWithServers(host));
         String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
-        Message answer = c.send(tiny).receive();
-        assertEquals(429, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        Message response = c.send(tiny).receive();
+        assertEquals(429, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         assertEquals(1, host.requests.size());
     }
 
     @Test
     void partialResponseIsNeverPassedOn() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger requestCount = new AtomicInteger();
         Server host = host((m, s) -> {
-            if (asked.incrementAndGet() > 1) {
+            if (requestCount.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
             }
@@ -301,7 +301,7 @@
                         .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
-        assertEquals(2, asked.get());
+        assertEquals(2, requestCount.get());
     }
 
     /** After a malformed header line it is unclear what the rest of the response is. */
@@ -329,13 +329,13 @@
      */
     @Test
     void bytesAfterAResponseReachNoOtherRequest() throws Exception {
-        AtomicInteger answered = new AtomicInteger();
+        AtomicInteger responseCount = new AtomicInteger();
         Server host = host((m, s) -> {
             String id = m.header("X-Trace-Id");
             byte[] good = okResponse("for " + id);
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             all.write(good);
-            switch (answered.getAndIncrement() % 4) {
+            switch (responseCount.getAndIncrement() % 4) {
                 case 0 -> all.write(good);
                 case 1 -> all.write(bytes("HTTP/1.1 200 OK\r\nContent-Le"));
                 case 2 -> all.write(bytes("left over"));
@@ -554,9 +554,9 @@
     void announcedConnectionCloseEndsAResponse() throws Exception {
         for (int length : List.of(5, 300_000)) {
             String body = "x".repeat(length);
-            AtomicInteger asked = new AtomicInteger();
+            AtomicInteger requestCount = new AtomicInteger();
             Server host = host((m, s) -> {
-                int time = asked.getAndIncrement();
+                int time = requestCount.getAndIncrement();
                 String head = time == 0 ? "HTTP/1.1 200 OK\r\n\r\n" : "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
                 s.getOutputStream().write(bytes(head + (time < 2 ? "half" : body)));
                 s.setSoLinger(time == 1, 0);
@@ -567,7 +567,7 @@
             String got =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
             assertTrue(got.startsWith("HTTP/1.1 200") && got.endsWith("\r\n\r\n" + body), got.split("\r\n\r\n")[0]);
-            assertEquals(3, asked.get());
+            assertEquals(3, requestCount.get());
         }
     }
 
@@ -676,15 +676,15 @@
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
         closeables.push(node::stop);
-        List<Client> held = new ArrayList<>();
+        List<Client> waitingClients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            held.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
+            waitingClients.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
             assertNotNull(host.nextRequest());
         }
         assertNull(client(node).receive()); // closed, as every other connection has an open request
         crowded.countDown();
         for (int i = 0; i < 4; i++) {
-            assertEquals("for v" + i + " ", held.get(i).receive().text());
+            assertEquals("for v" + i + " ", waitingClients.get(i).receive().text());
         }
     }
 
@@ -701,10 +701,10 @@
         SiblingWatch watch = node.watchSiblings(folder);
         watch.look();
         node.loop.submit(() -> assertEquals(share, node.others().clients())).sync();
-        Message answer =
+        Message response =
                 client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive();
-        assertEquals("for v ", answer.text());
-        assertEquals("close", answer.header("Connection"));
+        assertEquals("for v ", response.text());
+        assertEquals("close", response.header("Connection"));
     }
 
     @Test
@@ -819,7 +819,7 @@
     @Test
     void peersGetShortDatagramsAndUnknownSendersAreIgnored() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+                DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String nodeAddress = "127.0.0.1:" + port;
             Server host = host(NodeTest::echo);
@@ -828,7 +828,7 @@
                     discovery.server.address(), nodeAddress, nodeAddress, "127.0.0.1:" + peer.getLocalPort()));
             closeables.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            for (DatagramSocket from : List.of(stranger, peer)) {
+            for (DatagramSocket from : List.of(unknownSender, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
                     from.send(new DatagramPacket(new byte[size], size, to));
                 }
@@ -863,9 +863,9 @@
         Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS));
         draining.countDown();
         for (Client c : List.of(busy, late)) {
-            Message answer = c.receive();
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.header("Connection"));
+            Message response = c.receive();
+            assertEquals(200, response.status());
+            assertEquals("close", response.header("Connection"));
             assertNull(c.receive());
         }
         assertNull(idle.receive());
@@ -1133,7 +1133,7 @@
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
         closeables.push(node::stop);
-        Client held = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
+        Client waitingClient = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         Client first = client(node);
         for (int i = 0; i < 30; i++) {
@@ -1146,7 +1146,7 @@
         }
         assertNull(first.receive());
         crowded.countDown();
-        assertEquals("for held ", held.receive().text());
+        assertEquals("for held ", waitingClient.receive().text());
     }
 
     /** A single failed call during startup, here the bind to an address in use, ended the process. */
--- a/src/test/java/deckfall/net/OperatorServerTest.java
+++ b/src/test/java/deckfall/net/OperatorServerTest.java
@@ -83,8 +83,8 @@
     @Test
     void unknownCommandsAreRejectedWithAReason() throws Exception {
         for (String wrong : List.of("reboot\n", "\n", "HEALTH\n", "x".repeat(5000) + "\n")) {
-            String answer = call(wrong);
-            assertTrue(answer.matches("NAK \\S.*\\n"), answer);
+            String response = call(wrong);
+            assertTrue(response.matches("NAK \\S.*\\n"), response);
         }
         assertEquals(List.of(), commandsReceived);
     }
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -131,13 +131,16 @@
     @Test
     void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
         for (String state : new String[] {"draining", "gone"}) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
             Server other = closeLater(new Server(RaceConditionTest::echo));
-            Node node = node(this::recorded, c -> c, hostEntry("h0", slow.address(), "ready"));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
             discovery.updates.add(hostList(
-                    2, false, hostEntry("h0", slow.address(), state), hostEntry("h1", other.address(), "ready")));
+                    2,
+                    false,
+                    hostEntry("h0", unreachable.address(), state),
+                    hostEntry("h1", other.address(), "ready")));
             assertEquals("for o", c.receive().text());
             assertEquals(Outcome.FULL, next(results).outcome());
             assertEquals(Outcome.OK, next(results).outcome());
@@ -149,8 +152,8 @@
     void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
         String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
         for (String news : lists) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
-            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
+            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", unreachable.address(), "ready"));
             client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
             discovery.updates.add(news);
@@ -165,11 +168,11 @@
     @Test
     void requestIsNotSentIfItsClientLeavesBeforeTheHostConnects() throws Exception {
         for (String cancel : new String[] {"true", "false"}) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
             Node node = node(
                     this::recorded,
                     c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
-                    hostEntry("h0", slow.address(), "ready"));
+                    hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o" + cancel, "b"));
             next(handledRequests);
             c.close();
@@ -177,7 +180,7 @@
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
             client(node).send(orderRequest("p", "b"));
             next(handledRequests);
-            try (Socket hostSocket = slow.accept()) {
+            try (Socket hostSocket = unreachable.accept()) {
                 assertEquals(
                         "p",
                         TestEndpoints.readMessage(hostSocket.getInputStream()).header("X-Trace-Id"));
@@ -191,13 +194,13 @@
      */
     @Test
     void attemptIsNotSentIfItsClientLeavesWhileTheHostConnects() throws Exception {
-        UnreachableServer slow = closeLater(new UnreachableServer());
-        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+        UnreachableServer unreachable = closeLater(new UnreachableServer());
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", unreachable.address(), "ready"));
         Client c = client(node).send(orderRequest("o", "b"));
         next(handledRequests);
         CountDownLatch release = new CountDownLatch(1);
         node.loop.execute(() -> await(release));
-        try (Socket hostSocket = slow.accept()) {
+        try (Socket hostSocket = unreachable.accept()) {
             c.close();
             release.countDown();
             assertEquals(Outcome.MOOT, resultOf("o"));
@@ -289,8 +292,9 @@
      */
     @Test
     void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
-        UnreachableServer slow = closeLater(new UnreachableServer());
-        Node node = node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
+        UnreachableServer unreachable = closeLater(new UnreachableServer());
+        Node node =
+                node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", unreachable.address(), "ready"));
         String shortDeadline =
                 orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
         assertEquals(429, client(node).send(shortDeadline).receive().status());
@@ -400,14 +404,14 @@
         clock.frozen = true;
         Server host = closeLater(new Server(RaceConditionTest::echo));
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
-        Client stranger = client(node);
+        Client newClient = client(node);
         Client other = client(node);
         assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
         clock.offsetMs = 2000;
-        stranger.send(orderRequest("o", "whole").replace("whole", "ha"));
+        newClient.send(orderRequest("o", "whole").replace("whole", "ha"));
         assertEquals("for two", other.send(orderRequest("two", "b")).receive().text());
         clock.offsetMs = 2600;
-        assertEquals(408, stranger.receive().status());
+        assertEquals(408, newClient.receive().status());
     }
 
     /** A module that sends nothing and records whose client has left. */
