--- a/src/main/java/deckfall/wire/Fields.java
+++ b/src/main/java/deckfall/wire/Fields.java
@@ -14,23 +14,23 @@
 
     /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
     Fields(String text) {
-        int at = 0;
-        while (at < text.length()) {
-            int space = text.indexOf(' ', at);
+        int start = 0;
+        while (start < text.length()) {
+            int space = text.indexOf(' ', start);
             int end = space < 0 ? text.length() : space;
-            int equals = text.indexOf('=', at);
-            if (equals <= at || equals >= end) {
-                throw new WireFault("not a name=value pair: '" + text.substring(at, end) + "'");
+            int equals = text.indexOf('=', start);
+            if (equals <= start || equals >= end) {
+                throw new WireFormatException("not a name=value pair: '" + text.substring(start, end) + "'");
             }
-            values.put(text.substring(at, equals), text.substring(equals + 1, end));
-            at = end + 1;
+            values.put(text.substring(start, equals), text.substring(equals + 1, end));
+            start = end + 1;
         }
     }
 
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new WireFault("missing field '" + name + "'");
+            throw new WireFormatException("missing field '" + name + "'");
         }
         return value;
     }
@@ -42,13 +42,13 @@
     String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
-            throw new WireFault("empty field '" + name + "'");
+            throw new WireFormatException("empty field '" + name + "'");
         }
         return value;
     }
 
-    String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     double number(String name) {
@@ -61,67 +61,67 @@
         } catch (NumberFormatException e) {
             // reported below with the field's name
         }
-        throw new WireFault("bad number in '" + name + "': '" + value + "'");
+        throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    long whole(String name) {
+    long longNumber(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFault("bad whole number in '" + name + "': '" + value + "'");
+            throw new WireFormatException("bad whole number in '" + name + "': '" + value + "'");
         }
     }
 
-    long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    long longNumber(String name, long defaultValue) {
+        return has(name) ? longNumber(name) : defaultValue;
     }
 
     /** A whole number that fits an int. */
-    int count(String name) {
-        long value = whole(name);
+    int intNumber(String name) {
+        long value = longNumber(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new WireFault("number out of range in '" + name + "': '" + value + "'");
+            throw new WireFormatException("number out of range in '" + name + "': '" + value + "'");
         }
         return (int) value;
     }
 
-    int count(String name, int absent) {
-        return has(name) ? count(name) : absent;
+    int intNumber(String name, int defaultValue) {
+        return has(name) ? intNumber(name) : defaultValue;
     }
 
-    boolean flag(String name, boolean absent) {
+    boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new WireFault("bad truth value in '" + name + "': '" + value + "'");
+            default -> throw new WireFormatException("bad truth value in '" + name + "': '" + value + "'");
         };
     }
 
     /** Numbers set apart by commas; none where the field is absent or empty. */
-    double[] row(String name) {
+    double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals("-")) {
             return new double[0];
         }
         String[] parts = value.split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
             try {
-                row[i] = Double.parseDouble(parts[i]);
+                numbers[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
-                throw new WireFault("bad number in '" + name + "': '" + value + "'");
+                throw new WireFormatException("bad number in '" + name + "': '" + value + "'");
             }
         }
-        return row;
+        return numbers;
     }
 
     byte[] bytes(String name) {
@@ -132,7 +132,7 @@
         try {
             return java.util.HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new WireFault("bad bytes in '" + name + "': '" + value + "'");
+            throw new WireFormatException("bad bytes in '" + name + "': '" + value + "'");
         }
     }
 }
