--- a/src/test/java/deckfall/net/EventLoopLagTest.java
+++ b/src/test/java/deckfall/net/EventLoopLagTest.java
@@ -9,24 +9,24 @@
     private static final boolean TASKS = true;
 
     private long nanos = 5;
-    private final EventLoopLag delay = new EventLoopLag(() -> nanos);
+    private final EventLoopLag lag = new EventLoopLag(() -> nanos);
 
     private void advance(long ms) {
         nanos += ms * 1_000_000;
     }
 
     private void iteration(boolean tasks) throws Exception {
-        delay.calculateStrategy(() -> 1, tasks);
+        lag.calculateStrategy(() -> 1, tasks);
     }
 
     @Test
     void bytesReadAfterBlockingHaveNotWaited() throws Exception {
         iteration(!TASKS);
         advance(500);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
         iteration(!TASKS);
         advance(800);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
     }
 
     /**
@@ -37,23 +37,23 @@
     void bytesMayHaveWaitedForAWholeLongIteration() throws Exception {
         iteration(!TASKS);
         advance(500);
-        delay.observeDelayMs();
+        lag.observeDelayMs();
         advance(200); // while handling the I/O
         iteration(!TASKS); // finds I/O without blocking
-        assertEquals(200, delay.observeDelayMs());
+        assertEquals(200, lag.observeDelayMs());
         advance(30);
-        assertEquals(230, delay.observeDelayMs());
+        assertEquals(230, lag.observeDelayMs());
     }
 
     @Test
-    void iterationOfTasksAloneCountsAsDelay() throws Exception {
+    void iterationOfTasksAloneCountsAsLag() throws Exception {
         iteration(TASKS);
         advance(150);
         iteration(TASKS);
-        assertEquals(150, delay.observeDelayMs());
+        assertEquals(150, lag.observeDelayMs());
         iteration(!TASKS);
         advance(300); // blocked, or only ran what was due
         iteration(!TASKS);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
     }
 }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -395,7 +395,7 @@
         c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         c.close();
-        assertNotNull(host.closedByPeer.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.closedConnections.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** A response after the deadline must reach neither that client nor the next request. */
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -111,10 +111,10 @@
 
     /** The real module, with some of its events recorded after it has acted on them. */
     private Events recorded(Actions actions) {
-        DecisionModule engine = new DecisionModule(actions);
+        DecisionModule module = new DecisionModule(actions);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
-                    Object result = method.invoke(engine, args);
+                    Object result = method.invoke(module, args);
                     switch (method.getName()) {
                         case "requestReceived" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
@@ -151,12 +151,12 @@
     @Test
     void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
         String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
-        for (String news : lists) {
+        for (String list : lists) {
             UnreachableServer unreachable = closeLater(new UnreachableServer());
             Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", unreachable.address(), "ready"));
             client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
-            discovery.updates.add(news);
+            discovery.updates.add(list);
             assertEquals(Outcome.FULL, next(results).outcome());
         }
     }
--- a/src/test/java/deckfall/net/TestEndpoints.java
+++ b/src/test/java/deckfall/net/TestEndpoints.java
@@ -90,7 +90,7 @@
         final List<Message> requests = new CopyOnWriteArrayList<>();
         final BlockingQueue<Message> pendingRequests = new LinkedBlockingQueue<>();
         // Connections that the other side has closed
-        final BlockingQueue<Socket> closedByPeer = new LinkedBlockingQueue<>();
+        final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
         private final ServerSocket listener;
         private final List<Socket> connections = new CopyOnWriteArrayList<>();
         private final RequestHandler handler;
@@ -133,7 +133,7 @@
             } catch (IOException | InterruptedException e) {
                 // the connection has ended either way
             }
-            closedByPeer.add(s);
+            closedConnections.add(s);
         }
 
         Message nextRequest() throws InterruptedException {
