--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -129,9 +129,8 @@
             }
         } else if (incoming != null) {
             double elapsedMs = now - incoming.startedMs;
-            double waitedMs = hasSentRequest
-                    ? elapsedMs
-                    : now - partialHeadSinceMs; // before the first complete request, time counts from the connect
+            // Before the first complete request, time counts from the connect
+            double waitedMs = hasSentRequest ? elapsedMs : now - partialHeadSinceMs;
             if (waitedMs > REQUEST_TIMEOUT_MS
                     && channel.config().isAutoRead()
                     && incoming.receivedBytes() < elapsedMs * MIN_BODY_BYTES_PER_MS) {
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -59,7 +59,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests a node with real sockets on both sides. Each test causes a failure that must neither lose a request nor break a rule.
+ * Tests a node with real sockets on both sides. Each test causes a failure that must neither lose a request nor break
+ * a rule.
  */
 class NodeTest {
     private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
