--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -80,7 +80,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        node.loopDelay.observeDelayMs();
+        node.eventLoopLag.observeDelayMs();
         server.connectionOpened(this);
         lastUsedMs = node.clock.now();
         partialHeadSinceMs = lastUsedMs; // before the first complete request, time counts from the connect
@@ -165,7 +165,7 @@
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
             // Its body will not be completed, or it is unknown whether its client still waits
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         respond(status, 0);
     }
@@ -173,7 +173,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         server.connectionClosed(this);
-        node.connectionEnded(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
+        node.connectionClosed(closeReason == null ? CloseReason.CLIENT : closeReason, unansweredRequests());
         discardQueue();
         closing = true;
         if (readPauseTimeout != null) {
@@ -182,7 +182,7 @@
         OpenRequest unfinished = openRequest;
         openRequest = null;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         if (transfer != null) {
             transfer.clientLeft();
@@ -202,7 +202,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        double delayMs = Math.max(node.loopDelay.observeDelayMs(), channel.readDelayMs());
+        double delayMs = Math.max(node.eventLoopLag.observeDelayMs(), channel.readDelayMs());
         queue.add(new QueuedMessage((HttpObject) message, node.clock.now() - delayMs));
         addQueuedBytes(sizeBytes(message));
     }
@@ -256,7 +256,7 @@
 
     private void addQueuedBytes(int bytes) {
         queuedBytes += bytes;
-        node.room.reserve(bytes);
+        node.memoryBudget.reserve(bytes);
     }
 
     private void discardQueue() {
@@ -292,7 +292,9 @@
         boolean autoRead = incoming != null && !closing
                 ? incoming.acceptsMore()
                 : queuedBytes
-                        < (node.room.nearlyExhausted() ? IncomingRequest.MAX_SMALL_BODY_BYTES : MAX_READ_AHEAD_BYTES);
+                        < (node.memoryBudget.nearlyExhausted()
+                                ? IncomingRequest.MAX_SMALL_BODY_BYTES
+                                : MAX_READ_AHEAD_BYTES);
         if (channel.config().isAutoRead() != autoRead) {
             channel.config().setAutoRead(autoRead);
         }
@@ -338,7 +340,7 @@
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(head);
-        incoming = new IncomingRequest(head, originForm(head.uri()), node.room, node.clock.now());
+        incoming = new IncomingRequest(head, originForm(head.uri()), node.memoryBudget, node.clock.now());
         incoming.onAcceptsMore(this::updateAutoRead);
         if (incoming.tooLong()) {
             respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
@@ -391,7 +393,7 @@
         keepAlive = false;
         OpenRequest unfinished = openRequest;
         if (unfinished != null) {
-            node.clientLeft(unfinished);
+            node.clientDisconnected(unfinished);
         }
         respond(HttpResponseStatus.BAD_REQUEST, 0);
     }
@@ -400,7 +402,7 @@
         message.markComplete();
         if (openRequest != null) { // admitted before it was complete
             Request request = server.requestReader().read(message, messageReadMs);
-            node.bodyCame(openRequest, request.deadlineMs());
+            node.bodyReceived(openRequest, request.deadlineMs());
         } else if (message.uri.equals(READINESS_PATH)) {
             message.release();
             respond(node.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
@@ -418,7 +420,7 @@
             message.release();
             refuseOverload(request);
         } else {
-            node.taken(request, message, this);
+            node.requestReceived(request, message, this);
         }
     }
 
@@ -431,11 +433,11 @@
     }
 
     private boolean refusesNewRequests() {
-        return node.full() || node.room.exhausted() || node.over();
+        return node.openLimitReached() || node.memoryBudget.exhausted() || node.drainExpired();
     }
 
     private void refuseOverload(Request request) {
-        node.figures.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
+        node.metrics.recordResult(request.requestClass(), Metrics.Result.OVERLOAD);
         respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 node.config.settings().limits().maxRetryAfterMs());
@@ -534,9 +536,9 @@
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes);
         setConnectionHeader(response);
         if (closing || bytes > MAX_UNCOUNTED_RESPONSE_BYTES) {
-            node.room.reserve(bytes); // until a slow client has received it
+            node.memoryBudget.reserve(bytes); // until a slow client has received it
             ChannelFuture sent = channel.writeAndFlush(response);
-            sent.addListener(f -> node.room.release(bytes));
+            sent.addListener(f -> node.memoryBudget.release(bytes));
             responseWritten(sent);
         } else {
             channel.writeAndFlush(response, channel.voidPromise());
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -159,7 +159,7 @@
 
     /** The number of descriptors that client connections of all processes of this gateway hold. */
     int descriptorsHeld() {
-        return node.heldByAll(connections.size(), SiblingWatch.Siblings::clients);
+        return node.totalAcrossProcesses(connections.size(), SiblingWatch.SiblingCounts::clientConnections);
     }
 
     /**
@@ -171,7 +171,7 @@
     }
 
     private int maxClientDescriptors() {
-        return limits.maxClients(node.hostsHeld());
+        return limits.maxClients(node.totalHostConnections());
     }
 
     /** The reader of client requests. */
--- a/src/main/java/deckfall/net/ConnectionLimits.java
+++ b/src/main/java/deckfall/net/ConnectionLimits.java
@@ -14,7 +14,7 @@
 
     ConnectionLimits(int sockets) {
         maxKeepAlive = maxKeepAlive(sockets);
-        sharedDescriptors = sockets - HostClient.reserve(sockets);
+        sharedDescriptors = sockets - HostClient.reservedDescriptors(sockets);
     }
 
     /** The maximum number of client connections that are kept alive between requests, given this many descriptors. */
--- a/src/main/java/deckfall/net/RetryingServerSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingServerSocketChannel.java
@@ -15,7 +15,7 @@
     // Each read accepts up to 16 connections; no accept queue is longer than all rounds together
     private static final int MAX_READ_ROUNDS = 256;
 
-    private final FailureSpell failures = new FailureSpell();
+    private final FailureStreak failures = new FailureStreak();
     private double queueWaitMs; // how long queued connections may have waited because accepting failed
     private boolean queueEmpty; // as of the last accept
 
@@ -48,10 +48,10 @@
     private SocketChannel accept() throws IOException {
         try {
             SocketChannel socket = javaChannel().accept();
-            queueWaitMs = Math.max(queueWaitMs, failures.over());
+            queueWaitMs = Math.max(queueWaitMs, failures.recordSuccess());
             return socket;
         } catch (IOException e) {
-            failures.failed();
+            failures.recordFailure();
             throw e;
         }
     }
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -17,8 +17,8 @@
 
     private final boolean accepted; // from a client, which is owed a response even while it is reported unreachable
     private double readDelayMs;
-    private final FailureSpell readFailures = new FailureSpell();
-    private final FailureSpell writeFailures = new FailureSpell();
+    private final FailureStreak readFailures = new FailureStreak();
+    private final FailureStreak writeFailures = new FailureStreak();
 
     /** Creates a channel that is not connected yet. */
     RetryingSocketChannel() {
@@ -42,7 +42,7 @@
 
     /** Whether the last read failed transiently, so that it is unknown what has arrived. */
     boolean readFailing() {
-        return readFailures.on();
+        return readFailures.isActive();
     }
 
     /** Whether the system has taken everything that was written to this channel. */
@@ -56,9 +56,9 @@
         readDelayMs = 0;
     }
 
-    private boolean isRetried(IOException e, FailureSpell failures) {
+    private boolean isRetried(IOException e, FailureStreak failures) {
         return (TransientErrors.isSystemError(e) || accepted && TransientErrors.isUnreachable(e))
-                && failures.failed() < MAX_FAILING_MS;
+                && failures.recordFailure() < MAX_FAILING_MS;
     }
 
     @Override
@@ -73,10 +73,10 @@
             throw e;
         }
         if (read < END_OF_STREAM) { // interrupted
-            readFailures.failed();
+            readFailures.recordFailure();
             return 0;
         }
-        readDelayMs = Math.max(readDelayMs, readFailures.over());
+        readDelayMs = Math.max(readDelayMs, readFailures.recordSuccess());
         return read;
     }
 
@@ -91,6 +91,6 @@
             setOpWrite(); // the next iteration of the loop writes the rest
             return;
         }
-        writeFailures.over();
+        writeFailures.recordSuccess();
     }
 }
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -16,21 +16,24 @@
 import java.util.Map;
 
 /**
- * One process of a gateway without its sockets: the real decision module, whose actions go to the stand-ins once it
- * has returned, so that its processor time is its own. It keeps what the program round the module promises: attempts
- * end at a request's deadline, and a late answer to a counter call is not told.
+ * One process of a gateway without its sockets: the real decision module, whose actions are executed on the simulated
+ * services once it has returned, so that its measured time contains nothing else. It keeps the guarantees that the
+ * surrounding program gives to the module: attempts end at the deadline of their request, and a late reply to a
+ * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
-    private static final int MAX_OPEN_CALLS = 256; // of the program's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // after which that connection is given up
+    private static final int MAX_OPEN_CALLS = 256; // limit of the program's connection to the counter
+    private static final double STUCK_CONNECTION_MS = 5000; // after which the program abandons that connection
     private static final double[] NO_LOAD_REPORT = new double[0];
 
+    /** The kinds of events that can lead to counter calls for which requests wait. */
     private enum EventKind {
         REQUEST,
         COUNTER_RESULT,
         OTHER
     }
 
+    /** A call that the decision module requested and that is yet to be sent. */
     private record CounterCall(String name, double amount, double lifetimeMs) {}
 
     private final Fleet fleet;
@@ -68,7 +71,7 @@
         return decisionNanos;
     }
 
-    /** Tells the module of an event and then does what it wants. */
+    /** Passes an event to the decision module, then executes the actions that it requested. */
     private void deliver(EventKind kind, ClientRequest request, Runnable event) {
         if (!alive) {
             return;
@@ -88,7 +91,7 @@
         pendingCalls.clear();
     }
 
-    /** Serves beside a process of the same gateway from now on, whose memory it takes over. */
+    /** Takes over the state of another process of the same gateway, next to which it serves from now on. */
     void takeOver(SimulatedGateway predecessor) {
         deliver(
                 EventKind.OTHER,
@@ -146,8 +149,8 @@
         }
         attempt.ended = true;
         ClientRequest request = attempt.request;
-        boolean answersClient = outcome == Outcome.OK && !request.closed;
-        if (answersClient) {
+        boolean closesRequest = outcome == Outcome.OK && !request.closed;
+        if (closesRequest) {
             closeRequest(request, RunStatistics.RequestOutcome.SERVED, 0);
         }
         AttemptResult result = new AttemptResult(
@@ -156,7 +159,7 @@
                 attempt.host,
                 outcome,
                 now() - attempt.sentAtMs,
-                answersClient,
+                closesRequest,
                 meterReading,
                 0,
                 NO_LOAD_REPORT);
@@ -177,7 +180,7 @@
         }
     }
 
-    /** Its process ends: clients see their connections reset. */
+    /** Ends the process: clients see their connections reset. */
     @Override
     void terminate() {
         if (!alive) {
@@ -236,15 +239,15 @@
 
     @Override
     public void refuse(String id, double retryAfterMs, Refusal why) {
-        pendingActions.add(() -> answer(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
+        pendingActions.add(() -> endRequest(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
     }
 
     @Override
     public void fail(String id) {
-        pendingActions.add(() -> answer(id, RunStatistics.RequestOutcome.FAILED, 0));
+        pendingActions.add(() -> endRequest(id, RunStatistics.RequestOutcome.FAILED, 0));
     }
 
-    private void answer(String id, RunStatistics.RequestOutcome requestOutcome, double retryAfterMs) {
+    private void endRequest(String id, RunStatistics.RequestOutcome requestOutcome, double retryAfterMs) {
         ClientRequest request = openRequests.get(id);
         if (request != null && !request.closed) {
             closeRequest(request, requestOutcome, retryAfterMs);
@@ -258,12 +261,12 @@
 
     @Override
     public void probeHost(String host) {
-        throw new IllegalStateException("probes are not allowed here");
+        throw new IllegalStateException("the simulation does not support probes");
     }
 
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
-        throw new IllegalStateException("peers are not allowed here");
+        throw new IllegalStateException("the simulation does not support peer messages");
     }
 
     @Override
--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -94,7 +94,7 @@
         Client last = client(node); // once this one is answered, everything sent before has been read
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(502, sent.receive().status());
         assertEquals(503, partialBody.receive().status());
         for (Client c : new Client[] {partialHead, unused, last, sent}) {
@@ -116,7 +116,7 @@
         int ms = TestEndpoints.TIMEOUT_MS;
         Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
         assertNotNull(host.nextRequest());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         release.countDown();
         assertEquals("one", c.receive().text());
         assertEquals("two", c.receive().text());
@@ -136,7 +136,7 @@
                     known.send(viewRequest(
                             "v", TestEndpoints.TIMEOUT_MS)); // inside a task of the loop, which can't read meanwhile
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                     return null;
                 })
                 .sync();
@@ -157,13 +157,13 @@
         for (int i = 0; i < count; i++) {
             assertNotNull(host.nextRequest());
         }
-        while (node.figures.openRequests() > 0) {
+        while (node.metrics.openRequests() > 0) {
             node.loop.submit(() -> {}).sync();
         }
         node.loop
                 .submit(() -> {
                     node.drain();
-                    node.answerAll();
+                    node.endOpenRequests();
                 })
                 .sync();
         for (int i = 0; i < count; i++) {
@@ -178,7 +178,7 @@
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
-        node.loop.submit(node::answerAll).sync();
+        node.loop.submit(node::endOpenRequests).sync();
         assertEquals(503, queued.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
@@ -200,7 +200,7 @@
         node.start();
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
-        node.operations().quiesce();
+        node.operatorCommands().quiesce();
         node.loop.submit(() -> {}).sync(); // the task that wrote the response has read the clock before it is moved
         clock.offsetMs = 10_000;
         assertNull(idle.receive()); // from now on there is a sweep every 50 ms
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -193,7 +193,7 @@
                 folder.resolve("config.json"), TestEndpoints.config(old.server.address(), "127.0.0.1:0"));
         Node node = new Node(NodeConfig.read(file.toString()));
         closeables.push(node::stop);
-        node.configuredBy(file);
+        node.setConfigFile(file);
         node.start();
         Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
         old.close();
@@ -697,11 +697,13 @@
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
-        SiblingFiles.Note crowded = new SiblingFiles.Note(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
+        SiblingFiles.Status crowded = new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
         new SiblingFiles(folder, 1).write(crowded);
         SiblingWatch watch = node.watchSiblings(folder);
-        watch.look();
-        node.loop.submit(() -> assertEquals(share, node.others().clients())).sync();
+        watch.poll();
+        node.loop
+                .submit(() -> assertEquals(share, node.siblings().clientConnections()))
+                .sync();
         Message response =
                 client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals("for v ", response.text());
@@ -877,7 +879,7 @@
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeWithServers(host);
-        OperatorServer.Commands operations = node.operations();
+        OperatorServer.Commands operations = node.operatorCommands();
         assertNull(operations.notReadyReason());
         Client kept = client(node);
         assertEquals(
@@ -950,7 +952,7 @@
     }
 
     private static long metric(Node node, String name) {
-        for (String line : node.operations().metrics().split("\n")) {
+        for (String line : node.operatorCommands().metrics().split("\n")) {
             if (line.startsWith("edge_node_" + name + " ")) {
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
             }
@@ -1080,10 +1082,10 @@
     @Test
     void descriptorsRemainInReserve() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
-            int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.most(sockets);
-            assertTrue(left >= HostClient.RESERVE, left + " of " + sockets);
+            int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - HostClient.connectionLimit(sockets);
+            assertTrue(left >= HostClient.RESERVED_DESCRIPTORS, left + " of " + sockets);
         }
-        assertTrue(HostClient.most(20) > 1);
+        assertTrue(HostClient.connectionLimit(20) > 1);
     }
 
     /** A request on which the module throws, or that it forgets, is failed and not refused, as it may have run. */
@@ -1181,7 +1183,8 @@
                     () -> NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
             assertEquals(1, e.getMessage().lines().count());
         }
-        NodeConfig.BadConfig missing = assertThrows(NodeConfig.BadConfig.class, () -> NodeConfig.read("/no/such/file"));
+        NodeConfig.InvalidConfigException missing =
+                assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.read("/no/such/file"));
         assertEquals(1, missing.getMessage().lines().count());
     }
 }
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -425,7 +425,7 @@
     }
 
     private static long memoryUsed(Node node) throws Exception {
-        return node.loop.submit(node.room::usedBytes).get();
+        return node.loop.submit(node.memoryBudget::usedBytes).get();
     }
 
     /**
