--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -44,15 +44,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Two events that cross, in the bad order each time: one end of each is in the test's hands. */
+/** Pairs of events that race, each in its harmful order. The test controls one side of each pair. */
 class RaceConditionTest {
-    private static final int MAX_REQUESTS_PER_HOST = 8; // requests for one host; from here on they wait for a place
+    private static final int MAX_REQUESTS_PER_HOST = 8; // further requests for one host are queued
     private final Deque<Closeable> closeables = new ArrayDeque<>();
-    private final BlockingQueue<Request> handledRequests =
-            new LinkedBlockingQueue<>(); // after the module has acted on it
+    // Requests, added after the module has acted on them
+    private final BlockingQueue<Request> handledRequests = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> clientsGone =
-            new LinkedBlockingQueue<>(); // whose client the module knows to be gone
+    // Ids of requests whose client has left, added after the module has acted on that
+    private final BlockingQueue<String> clientsGone = new LinkedBlockingQueue<>();
     private final ManualClock clock = new ManualClock();
     private DiscoveryServer discovery;
 
@@ -74,7 +74,7 @@
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertNotNull(next, "nothing came");
+        assertNotNull(next, "no event within the timeout");
         return next;
     }
 
@@ -83,7 +83,7 @@
         return result.id().equals(id) ? result.outcome() : resultOf(id);
     }
 
-    /** Connections may take as long as requests to come up. */
+    /** Starts a node whose connect timeout is as long as the deadlines of requests. */
     private Node node(Function<Actions, Events> module, UnaryOperator<String> configChange, String... entries)
             throws IOException {
         discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
@@ -109,62 +109,70 @@
                 results::add);
     }
 
-    /** The module itself, with what it was told of noted once it has acted on it. */
-    private Events recorded(Actions act) {
-        DecisionModule brain = new DecisionModule(act);
+    /** The real module, with some of its events recorded after it has acted on them. */
+    private Events recorded(Actions actions) {
+        DecisionModule module = new DecisionModule(actions);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
-                    Object answer = method.invoke(brain, args);
+                    Object result = method.invoke(module, args);
                     switch (method.getName()) {
                         case "requestReceived" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
                         case "clientDisconnected" -> clientsGone.add((String) args[1]);
                         default -> {}
                     }
-                    return answer;
+                    return result;
                 });
     }
 
-    /** The first byte counts: it would go to a draining host whenever the connection comes up. */
+    /**
+     * The first byte of a request counts: it would be sent to a draining host as soon as the connection is established.
+     */
     @Test
     void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
         for (String state : new String[] {"draining", "gone"}) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
             Server other = closeLater(new Server(RaceConditionTest::echo));
-            Node node = node(this::recorded, c -> c, hostEntry("h0", slow.address(), "ready"));
+            Node node = node(this::recorded, c -> c, hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
             discovery.updates.add(hostList(
-                    2, false, hostEntry("h0", slow.address(), state), hostEntry("h1", other.address(), "ready")));
+                    2,
+                    false,
+                    hostEntry("h0", unreachable.address(), state),
+                    hostEntry("h1", other.address(), "ready")));
             assertEquals("for o", c.receive().text());
             assertEquals(Outcome.FULL, next(results).outcome());
             assertEquals(Outcome.OK, next(results).outcome());
         }
     }
 
-    /** The same where a host has restarted, or has left the list without a word. */
+    /** The same for a host that has restarted, or that is missing from a new list. */
     @Test
     void attemptWaitingForAReplacedOrRemovedHostEndsAsFull() throws Exception {
         String[] lists = {hostList(2, true), hostList(2, false, hostEntry("h0", "127.0.0.1:1", "ready"))};
-        for (String news : lists) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
-            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+        for (String list : lists) {
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
+            Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", unreachable.address(), "ready"));
             client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
-            discovery.updates.add(news);
+            discovery.updates.add(list);
             assertEquals(Outcome.FULL, next(results).outcome());
         }
     }
 
-    /** Settings that forbid to cancel speak of what has been sent; what has not must not be, for nobody. */
+    /**
+     * Settings that forbid cancelling apply to requests that were sent. An unsent request must not be sent once its
+     * client has left.
+     */
     @Test
     void requestIsNotSentIfItsClientLeavesBeforeTheHostConnects() throws Exception {
         for (String cancel : new String[] {"true", "false"}) {
-            UnreachableServer slow = closeLater(new UnreachableServer());
+            UnreachableServer unreachable = closeLater(new UnreachableServer());
             Node node = node(
                     this::recorded,
                     c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
-                    hostEntry("h0", slow.address(), "ready"));
+                    hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o" + cancel, "b"));
             next(handledRequests);
             c.close();
@@ -172,36 +180,43 @@
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
             client(node).send(orderRequest("p", "b"));
             next(handledRequests);
-            try (Socket came = slow.accept()) {
+            try (Socket hostSocket = unreachable.accept()) {
                 assertEquals(
-                        "p", TestEndpoints.readMessage(came.getInputStream()).header("X-Trace-Id"));
+                        "p",
+                        TestEndpoints.readMessage(hostSocket.getInputStream()).header("X-Trace-Id"));
             }
         }
     }
 
-    /** An attempt left for a client that had gone, since its connection came up in the same turn of a busy loop. */
+    /**
+     * An attempt was sent for a client that had left, as the connection to the host was established in the same
+     * iteration of a busy event loop.
+     */
     @Test
     void attemptIsNotSentIfItsClientLeavesWhileTheHostConnects() throws Exception {
-        UnreachableServer slow = closeLater(new UnreachableServer());
-        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", slow.address(), "ready"));
+        UnreachableServer unreachable = closeLater(new UnreachableServer());
+        Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", unreachable.address(), "ready"));
         Client c = client(node).send(orderRequest("o", "b"));
         next(handledRequests);
-        CountDownLatch go = new CountDownLatch(1);
-        node.loop.execute(() -> await(go));
-        try (Socket came = slow.accept()) {
+        CountDownLatch release = new CountDownLatch(1);
+        node.loop.execute(() -> await(release));
+        try (Socket hostSocket = unreachable.accept()) {
             c.close();
-            go.countDown();
+            release.countDown();
             assertEquals(Outcome.MOOT, resultOf("o"));
-            assertNull(TestEndpoints.readMessage(came.getInputStream()));
+            assertNull(TestEndpoints.readMessage(hostSocket.getInputStream()));
         }
     }
 
-    /** A request that was sent behind another told its server the time from when its turn came. */
+    /**
+     * The host was told the remaining time of a pipelined request as if the client had sent it only when the request
+     * before it ended.
+     */
     @Test
     void pipelinedRequestLosesTheTimeItWaited() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            await(go);
+            await(release);
             echo(m, s);
         }));
         Node node = node(sendingTo("h0"), c -> c, hostEntry("h0", host.address(), "ready"));
@@ -211,22 +226,25 @@
         assertNotNull(host.nextRequest());
         node.loop.submit(() -> {}).sync(); // both have been read
         clock.offsetMs = ms / 2;
-        go.countDown();
+        release.countDown();
         assertEquals("for first", c.receive().text());
         assertTrue(Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms")) <= ms / 2);
     }
 
-    /** A server was told the time that its client had waited for a loop that was held up. */
+    /**
+     * The remaining time that a host was told still included the time for which the request had waited for a busy event
+     * loop.
+     */
     @Test
     void requestLosesTheTimeItWaitedForABusyEventLoop() throws Exception {
-        int heldMs = 400;
-        CountDownLatch held = new CountDownLatch(1);
+        int busyMs = 400;
+        CountDownLatch loopBusy = new CountDownLatch(1);
         Server host = closeLater(new Server(RaceConditionTest::echo));
         Node node = node(
                 act -> new ScriptedModule((now, r) -> {
                     if (r.id().equals("first")) {
-                        held.countDown();
-                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(heldMs));
+                        loopBusy.countDown();
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(busyMs));
                     }
                     act.send(r.id(), "h0", 0);
                 }),
@@ -235,19 +253,19 @@
         Client first = client(node);
         Client second = client(node);
         first.send(TestEndpoints.viewRequest("first", TestEndpoints.TIMEOUT_MS));
-        await(held);
+        await(loopBusy);
         second.send(TestEndpoints.viewRequest("second", TestEndpoints.TIMEOUT_MS));
         assertEquals("first", host.nextRequest().header("X-Trace-Id"));
-        int toldMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
-        assertTrue(toldMs <= TestEndpoints.TIMEOUT_MS - heldMs / 2, toldMs + " ms");
+        int forwardedMs = Integer.parseInt(host.nextRequest().header("X-Expires-In-Ms"));
+        assertTrue(forwardedMs <= TestEndpoints.TIMEOUT_MS - busyMs / 2, forwardedMs + " ms");
     }
 
-    /** It holds its place in the queue no longer, and none at a host. */
+    /** Such a request occupies neither the queue nor a host any more. */
     @Test
     void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            release.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         }));
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
@@ -260,26 +278,30 @@
         next(handledRequests);
         gone.close();
         assertEquals("gone", next(clientsGone));
-        go.countDown();
-        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b"))); // behind the one that left
+        release.countDown();
+        // Queued behind the one whose client left
+        clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b")));
         for (int i = 0; i <= MAX_REQUESTS_PER_HOST; i++) {
             assertEquals("for o" + i, clients.get(i).receive().text());
         }
         assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").equals("gone")));
     }
 
-    /** A connection that never came up proves that nothing has run, also where the client's time ends it. */
+    /**
+     * A connection that was never established proves that nothing has run, even if the request ends at its deadline.
+     */
     @Test
     void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
-        UnreachableServer slow = closeLater(new UnreachableServer());
-        Node node = node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", slow.address(), "ready"));
-        String soon =
+        UnreachableServer unreachable = closeLater(new UnreachableServer());
+        Node node =
+                node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", unreachable.address(), "ready"));
+        String shortDeadline =
                 orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
-        assertEquals(429, client(node).send(soon).receive().status());
+        assertEquals(429, client(node).send(shortDeadline).receive().status());
         assertEquals(Outcome.CONNECT_FAILED, next(results).outcome());
     }
 
-    /** The copy comes once the next request has been written, on whichever connection that took. */
+    /** The duplicate arrives once the next request has been written, whichever connection that one uses. */
     @Test
     void lateDuplicateResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
@@ -295,7 +317,7 @@
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-        clock.offsetMs = 25; // so much later than the first one a copy has been seen
+        clock.offsetMs = 25; // duplicates have been seen this long after the first response
         assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
     }
 
@@ -312,16 +334,16 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     "for o" + i, c.send(orderRequest("o" + i, "b")).receive().text());
-            clock.offsetMs += 45; // less than the shortest time for which a connection is trusted
+            clock.offsetMs += 45; // less than the shortest idle time after which a connection is no longer reused
         }
         assertEquals(1, used.size());
     }
 
-    /** What has come of a second answer is taken in at once; its rest comes once the next request has been written. */
+    /** The start of a second response is received at once; its rest arrives once the next request has been written. */
     @Test
     void partialSecondResponseReachesNoOtherRequest() throws Exception {
         clock.frozen = true;
-        for (String begun : new String[] {
+        for (String partialResponse : new String[] {
             "HTTP/1.1 200 OK\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le",
             "left over",
@@ -331,7 +353,8 @@
             Server host = closeLater(new Server((m, s) -> {
                 if (first.compareAndSet(null, s)) {
                     s.getOutputStream()
-                            .write(bytes(new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + begun));
+                            .write(bytes(
+                                    new String(okResponse("for one"), StandardCharsets.ISO_8859_1) + partialResponse));
                     return;
                 }
                 writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
@@ -340,7 +363,7 @@
             Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-            clock.offsetMs += 45; // the connection has rested, and would be trusted
+            clock.offsetMs += 45; // the connection has rested, and would be reused
             assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
         }
     }
@@ -349,11 +372,11 @@
         try {
             s.getOutputStream().write(bytes(text));
         } catch (IOException e) {
-            // the other side has given it up, as it should
+            // the other side has closed it, as it should
         }
     }
 
-    /** A head that stops behind a whole line is as little a request as one that stops inside a line. */
+    /** A head that stops after a complete line is as incomplete as one that stops inside a line. */
     @Test
     void laterRequestThatStopsAfterAWholeLineTimesOut() throws Exception {
         clock.frozen = true;
@@ -364,7 +387,7 @@
         c.send("\r\nGET /view/x HTTP/1.1\r\n");
         Client other = client(node);
         assertEquals(
-                "for two", other.send(orderRequest("two", "b")).receive().text()); // what came before has been read
+                "for two", other.send(orderRequest("two", "b")).receive().text()); // what was sent before has been read
         clock.offsetMs = 2600;
         assertEquals(408, c.receive().status());
         assertEquals(
@@ -372,23 +395,26 @@
                 other.send("\r\n" + orderRequest("three", "b")).receive().text());
     }
 
-    /** Who has not sent a whole request yet is owed a word 3 s after connecting, however late the head came. */
+    /**
+     * A client that has not completed its first request gets a response within 3 s of connecting, however late its head
+     * arrived.
+     */
     @Test
     void firstRequestTimesOutFromTheConnectOn() throws Exception {
         clock.frozen = true;
         Server host = closeLater(new Server(RaceConditionTest::echo));
         Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
-        Client stranger = client(node);
+        Client newClient = client(node);
         Client other = client(node);
         assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
         clock.offsetMs = 2000;
-        stranger.send(orderRequest("o", "whole").replace("whole", "ha"));
+        newClient.send(orderRequest("o", "whole").replace("whole", "ha"));
         assertEquals("for two", other.send(orderRequest("two", "b")).receive().text());
         clock.offsetMs = 2600;
-        assertEquals(408, stranger.receive().status());
+        assertEquals(408, newClient.receive().status());
     }
 
-    /** A module that sends nothing on, and notes whose client has left. */
+    /** A module that sends nothing and records whose client has left. */
     private Function<Actions, Events> holdingModule() {
         return act -> new ScriptedModule((now, r) -> handledRequests.add(r)) {
             @Override
@@ -402,7 +428,9 @@
         return node.loop.submit(node.memoryBudget::usedBytes).get();
     }
 
-    /** A connection that is not read on shows no close, and what waits would be sent on for nobody. */
+    /**
+     * While reading is paused, a close is not noticed, and waiting requests would be sent for a client that has left.
+     */
     @Test
     void clientCloseIsNoticedBehindUnprocessedData() throws Exception {
         String large = orderRequest(
@@ -419,7 +447,7 @@
         assertTrue(handledRequests.isEmpty());
     }
 
-    /** Memory is bounded, so that whoever sends too much to be read on while its request waits is told no. */
+    /** Memory is bounded, so a client that sends too much to be read while its request waits is refused. */
     @Test
     void clientThatSendsTooMuchAheadIsRefused() throws Exception {
         Node node = node(holdingModule(), c -> c);
@@ -432,7 +460,7 @@
             try {
                 flood.send(orderRequest("flood", "b").repeat(50_000));
             } catch (IOException e) {
-                // ended by the other side, as it should
+                // closed by the other side, as it should be
             }
         });
         sending.start();
@@ -443,7 +471,10 @@
         assertEquals(0, memoryUsed(node));
     }
 
-    /** What has come is heard of only after the turn in which the module acts; so late it is a break. */
+    /**
+     * The event loop notices a close only after the task in which the module acts. An attempt that starts before that
+     * would be sent for a client that has left.
+     */
     @Test
     void noAttemptStartsIfItsClientLeftWhileTheLoopWasBusy() throws Exception {
         CountDownLatch[] gone = {new CountDownLatch(1), new CountDownLatch(1)};
