--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -40,22 +40,23 @@
 import java.util.logging.Logger;
 
 /**
- * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
- * table of open requests. It carries out what the module decides and tells it what came of it.
+ * One API gateway process: the event loop on which all of its work runs, the clock, the timers, the decision module and
+ * the table of open requests. It carries out the actions of the decision module and reports their results to it as
+ * events.
  */
 public final class Node implements Actions {
-    private static final double RESPONSE_MARGIN_MS = 20; // the answer must reach the client within its time
-    private static final long SHUTDOWN_TIMEOUT_MS =
-            30_000; // after SIGTERM: long answers have had their time, if there is any
-    private static final long FINAL_TALLY_TIMEOUT_MS = 100; // for the last figures to be logged
-    private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain looks whether all is answered
-    private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the figures on hosts are brought up to date
-    private static final int BUFFER_HEAP_DIVISOR = 4; // one byte of so many may hold what clients and hosts sent
-    private static final double MIN_BODY_BYTES_PER_MS = 64; // what a client's body comes at, at least
+    // for the response to reach the client before the client's deadline
+    private static final double RESPONSE_MARGIN_MS = 20;
+    private static final long SHUTDOWN_TIMEOUT_MS = 30_000; // after SIGTERM, enough for long responses to end
+    private static final long FINAL_TALLY_TIMEOUT_MS = 100; // for the last tally line to be logged
+    private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain checks whether all requests are answered
+    private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the metrics on hosts are updated
+    private static final int BUFFER_HEAP_DIVISOR = 4; // buffers of client and host data may use 1/4 of the heap
+    private static final double MIN_BODY_BYTES_PER_MS = 64; // the slowest rate at which a client may send a body
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_LOAD_METRICS = new double[0];
 
-    /** Something that the module is to be told. */
+    /** An event to be delivered to the decision module. */
     private interface Event {
         void deliver(double now, Events module);
     }
@@ -82,22 +83,22 @@
     private boolean delivering;
     private volatile boolean serving;
     private boolean warmingUp;
-    private ConfigReloader reloader; // null where the configuration came from elsewhere
-    private SiblingWatch siblingWatch; // set before the start, where another process may serve as this gateway
+    private ConfigReloader reloader; // null if the configuration was not read from a file
+    private SiblingWatch siblingWatch; // set before start() if another process may serve as this gateway; else null
     private List<CustomerSnapshot> restoredCustomers = List.of();
     private int servingProcesses = 1;
     private SiblingWatch.SiblingCounts siblings = SiblingWatch.SiblingCounts.NONE;
-    private SiblingWatch.SiblingCounts lastPublished =
-            SiblingWatch.SiblingCounts.NONE; // what others have last heard of this process
-    private volatile boolean terminating; // by SIGTERM: no operator takes that back
-    private boolean drainExpired; // the drain's time is up: nothing more is sent
+    // the counts of this process in its last published file
+    private SiblingWatch.SiblingCounts lastPublished = SiblingWatch.SiblingCounts.NONE;
+    private volatile boolean terminating; // after SIGTERM; an operator's resume does not revert it
+    private boolean drainExpired; // the drain's time is up: no further attempts are sent
     private long duplicateIds;
 
     Node(NodeConfig config) {
         this(config, DecisionModule::new);
     }
 
-    /** With a module of the caller's making. */
+    /** Creates a node with the decision module that {@code moduleFactory} returns. */
     Node(NodeConfig config, Function<Actions, Events> moduleFactory) {
         this(config, moduleFactory, new Clock());
     }
@@ -115,7 +116,10 @@
         this.drain = new Drain(loop, clock, clientServer);
     }
 
-    /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
+    /**
+     * Serves until SIGTERM. An invalid configuration or an address that cannot be bound ends the process with one line
+     * on standard error.
+     */
     public static void main(String configFile) {
         ReloadSignal reloadSignal = ReloadSignal.install();
         AtomicReference<Node> started = new AtomicReference<>();
@@ -126,10 +130,10 @@
             NodeConfig config = readConfig(configFile);
             startupTimes.phaseEnded("configuration");
             ServerSocketChannel inherited = InheritedListener.fromEnvironment();
-            Node node = StartupRetry.withRetries("no event loop", () -> new Node(config));
+            Node node = StartupRetry.withRetries("event loop not created", () -> new Node(config));
             node.setConfigFile(Path.of(configFile));
-            if (config.operator() != null) { // it says no until clients are taken
-                StartupRetry.withRetries("no operator address", () -> startOperator(config, node));
+            if (config.operator() != null) { // readiness checks fail until clients are accepted
+                StartupRetry.withRetries("operator's address not opened", () -> startOperator(config, node));
             }
             if (inherited != null && System.getenv("TMPDIR") != null) {
                 node.watchSiblings(Path.of(System.getenv("TMPDIR")));
@@ -150,7 +154,7 @@
         }
     }
 
-    /** What SIGTERM begins; a node that has not begun to serve owes nothing. */
+    /** Handles SIGTERM: a node that does not serve yet has no requests to finish, and the process ends at once. */
     private static void shutDown(Node node) {
         if (node == null) {
             Runtime.getRuntime().halt(0);
@@ -165,7 +169,7 @@
         return operator;
     }
 
-    /** The configuration, read again for a while where the file can't be read. */
+    /** Reads the configuration. A file that cannot be read for the moment is retried for a while. */
     private static NodeConfig readConfig(String file) throws NodeConfig.InvalidConfigException, IOException {
         try {
             return NodeConfig.read(file);
@@ -173,16 +177,19 @@
             if (!e.isTransient()) {
                 throw e;
             }
-            return StartupRetry.withRetries("no configuration", () -> NodeConfig.read(file));
+            return StartupRetry.withRetries("configuration not read", () -> NodeConfig.read(file));
         }
     }
 
-    /** Reads a replaced configuration, from any thread. */
+    /** Reloads the configuration file. Thread-safe. */
     private void reload() {
         reloader.reload();
     }
 
-    /** Takes from a replaced configuration what may change while a node serves: where others are. */
+    /**
+     * Applies the settings of a reloaded configuration that may change while the node serves: the addresses of
+     * discovery and of the counter.
+     */
     private void applyConfig(NodeConfig newConfig) {
         log("configuration read again: discovery at " + newConfig.discovery());
         loop.execute(() -> {
@@ -191,14 +198,14 @@
         });
     }
 
-    /** The file in which the platform tells of changes. */
+    /** Sets the file that {@link #reload} reads. */
     void setConfigFile(Path file) {
         reloader = new ConfigReloader(file, this::applyConfig);
     }
 
     /**
-     * Where discovery can't be had it may have moved while nobody heard the signal, as in a start that had read the
-     * file before it was replaced.
+     * Reloads the configuration if discovery cannot be reached. Its address may have changed without a SIGHUP that this
+     * process handled, for example if the file was replaced just after startup had read it.
      */
     void discoveryUnreachable() {
         if (reloader != null) {
@@ -207,13 +214,13 @@
         }
     }
 
-    /** Returns once clients are served at the configured address. */
+    /** Starts the node. Returns once it serves clients at the configured address. */
     void start() throws IOException {
         start(null, new StartupTimes(clock));
         serving = true;
     }
 
-    /** Returns once clients are let in, at the inherited listener if there is one. */
+    /** Starts the node. Returns once it accepts clients, on the inherited listener if there is one. */
     private void start(ServerSocketChannel inherited, StartupTimes startupTimes) throws IOException {
         try {
             loop.submit(() -> {
@@ -234,19 +241,19 @@
                                 TimeUnit.MILLISECONDS);
                     })
                     .sync();
-            startupTimes.phaseEnded("module and known list"); // the counter is called, and not waited for
-            if (!warmingUp) { // a rehearsal's discovery is the node itself
+            startupTimes.phaseEnded("module and known list"); // the counter's connect is started and not awaited
+            if (!warmingUp) { // during a warm-up the node itself is its discovery address
                 discovery.awaitFirstList();
             }
             startupTimes.phaseEnded("discovery");
             StartupRetry.withRetries(
-                    "no listener",
+                    "listener not opened",
                     () -> loop.submit(() -> listen(inherited)).sync().getNow().sync());
             startupTimes.phaseEnded("listener");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
-        } catch (Exception e) { // netty throws what failed as it is, checked or not
+        } catch (Exception e) { // Netty rethrows the original exception, checked or unchecked
             throw new IOException("can't start: " + e.getMessage(), e);
         }
     }
@@ -256,8 +263,8 @@
     }
 
     /**
-     * One plain line for each thing that netty warns of. The system's own handler reads the time zones' file for
-     * its first line, and where that line says that no descriptor is left, this would end the event loop.
+     * Logs each warning of Netty as one line. The JDK's default handler reads the time zone file for its first line. If
+     * that line reports that no descriptor is left, the read fails and ends the event loop.
      */
     static void configureLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -280,7 +287,10 @@
         });
     }
 
-    /** Netty tells elsewhere of a connect for which no descriptor was left; nothing here may run there. */
+    /**
+     * Runs the action on the event loop, at once if called there. Netty reports a connect for which no descriptor was
+     * left on another thread, where no code of this node may run.
+     */
     void runOnLoop(Runnable action) {
         if (loop.inEventLoop()) {
             action.run();
@@ -300,26 +310,26 @@
         }
     }
 
-    // ---- telling the module
+    // ---- events for the decision module
 
     /**
-     * Tells the module in order, and never from inside itself: what its own actions bring about at once waits
-     * until it has returned.
+     * Delivers events to the decision module in order and never reentrantly: an event that an action of the module
+     * causes is queued until the module has returned.
      */
     private void deliver(Event event) {
-        assert loop.inEventLoop() : "told beside the loop";
+        assert loop.inEventLoop() : "called outside the event loop";
         pendingEvents.add(event);
         if (delivering) {
             return;
         }
         delivering = true;
-        eventLoopLag.observeDelayMs(); // a timer's turn has no I/O
+        eventLoopLag.observeDelayMs(); // a loop iteration that only runs timers has no I/O
         try {
             for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
                     next.deliver(clock.now(), module);
-                } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
-                    log("defect: the module threw " + e);
+                } catch (RuntimeException e) { // the deadline timer still answers the request
+                    log("defect: the decision module threw " + e);
                     e.printStackTrace();
                 }
             }
@@ -328,7 +338,10 @@
         }
     }
 
-    /** Other processes that serve as this gateway are told of this one from here on, by files in a folder. */
+    /**
+     * Starts to publish this process to, and to read about, the other processes of this gateway, through files in
+     * {@code folder}.
+     */
     SiblingWatch watchSiblings(Path folder) {
         SiblingFiles files = new SiblingFiles(folder, ProcessHandle.current().pid());
         siblingWatch = new SiblingWatch(files, clock, new SiblingWatch.LocalProcess() {
@@ -381,35 +394,38 @@
         }
     }
 
-    /** What other processes of this gateway were last heard to hold. */
+    /** The counts of the other processes of this gateway, as last read. */
     SiblingWatch.SiblingCounts siblings() {
         return siblings;
     }
 
-    /** Connections from clients that all processes of this gateway hold. */
+    /** The number of client connections of all processes of this gateway together. */
     int totalClientConnections() {
         return clientServer.descriptorsHeld();
     }
 
-    /** The same of connections to hosts. */
+    /** The number of host connections of all processes of this gateway together. */
     int totalHostConnections() {
         return hostClient.totalConnections();
     }
 
     /**
-     * What this process and the others hold of something, at most: since this process last told of itself each of the
-     * others may have taken as much more as it has itself.
+     * An upper bound on the connections of this process and its siblings together. Since this process last published
+     * its own number, each sibling may have opened as many more as this process has.
      */
     int totalAcrossProcesses(int own, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
         int grown = Math.max(0, own - connections.applyAsInt(lastPublished));
         return own + connections.applyAsInt(siblings) + grown * siblings.processes();
     }
 
-    /** What a process that serves now remembers; it is shared out as soon as this one serves too. */
+    /**
+     * Reads the customer state of a serving sibling. It is split between the processes as soon as this one serves as
+     * well.
+     */
     private void readSiblingCustomers() {
         if (siblingWatch != null) {
             restoredCustomers = siblingWatch.customersOfServingSibling();
-            log("recalled " + restoredCustomers.size() + " customers of another process");
+            log("restored " + restoredCustomers.size() + " customers from a sibling process");
         }
     }
 
@@ -417,11 +433,15 @@
         metrics.targets(hostClient.hostCount(), module.avoidedHostCount(clock.now()));
     }
 
+    /** Whether the node drains, after SIGTERM or on an operator's request. */
     boolean draining() {
         return drain.active();
     }
 
-    /** A client's connection has ended; what it had asked is owed, unless the client has gone. */
+    /**
+     * Records the end of a client connection. Requests without a response are a defect, unless the client itself closed
+     * the connection or the connection broke.
+     */
     void connectionClosed(CloseReason why, int unanswered) {
         tally.addClose(why);
         if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
@@ -430,7 +450,7 @@
         }
     }
 
-    /** What an operator may ask of this node. */
+    /** The commands of the operator's address. */
     OperatorServer.Commands operatorCommands() {
         return new OperatorServer.Commands() {
             @Override
@@ -459,7 +479,9 @@
         };
     }
 
-    /** From here on this node is no gateway to clients. */
+    /**
+     * Marks this node as a warm-up node, which reports itself as not ready to clients. Call before {@link #start()}.
+     */
     void markAsWarmUp() {
         warmingUp = true;
     }
@@ -468,21 +490,22 @@
         return warmingUp;
     }
 
-    /** Whether clients may be let in. */
+    /** Whether the node is ready for clients. */
     boolean ready() {
         return serving && !drain.active() && !warmingUp;
     }
 
     /**
-     * Takes a request from its client, whole or as far as its body is kept; the entry owns the message from here on.
-     * The client's time starts with the last byte, so the module is told of the longest that the rest may take.
+     * Accepts a request from a client, complete or with the part of its body that is buffered so far. The new entry
+     * owns the message from here on. The client's deadline counts from the last byte of its request, so the decision
+     * module is given the latest deadline that an incomplete body may lead to.
      */
     void requestReceived(Request parsed, IncomingRequest message, ClientConnection client) {
         Request request = message.complete()
                 ? parsed
                 : withDeadline(parsed, parsed.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
         String id = request.id();
-        while (openRequests.containsKey(id)) { // the module knows requests by id, and a client may repeat one
+        while (openRequests.containsKey(id)) { // the module identifies requests by id, and a client may repeat an id
             id = request.id() + '#' + ++duplicateIds;
         }
         Request delivered = id.equals(request.id()) ? request : withDeadline(request, id, 0);
@@ -515,7 +538,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The last byte of a request has come that was taken before. */
+    /** The last byte of a request has arrived whose body was still incomplete when it was accepted. */
     void bodyReceived(OpenRequest openRequest, double deadlineMs) {
         openRequest.deadlineMs = deadlineMs;
         if (!openRequest.closed()) {
@@ -524,7 +547,10 @@
         }
     }
 
-    /** When the answer must have left for a client that waits this long from its sending. */
+    /**
+     * The time by which the response must be sent to a client that waits for {@code expiresInMs} from the time it sent
+     * its request.
+     */
     static double deadline(double now, double expiresInMs) {
         return now + Math.max(1, expiresInMs - RESPONSE_MARGIN_MS);
     }
@@ -533,15 +559,19 @@
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
+    /** Whether as many requests are open as the configuration allows. */
     boolean openLimitReached() {
         return openRequests.size() >= config.maxOpenRequests();
     }
 
-    /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
+    /**
+     * Ends all attempts at the client's deadline. A request that the decision module then leaves unanswered fails here,
+     * so that each request gets exactly one response.
+     */
     private void deadlineReached(OpenRequest openRequest) {
         timeOutAttempts(openRequest);
         if (!openRequest.closed()) {
-            log("defect: no answer from the module in time, request failed");
+            log("defect: no response from the decision module by the deadline, request failed");
             respond(openRequest, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
@@ -552,7 +582,7 @@
         }
     }
 
-    /** What still waited for a connection has never run, whatever else it would count as. */
+    /** Ends an attempt. If it was still waiting for a connection, it never ran and ends as {@code CONNECT_FAILED}. */
     private void abandonAttempt(Attempt attempt, Outcome outcomeIfStarted) {
         if (!attempt.ended) {
             attempt.abandon();
@@ -560,7 +590,10 @@
         }
     }
 
-    /** Nobody waits for it any more: it must not leave when its connection comes up, may it be cancelled or not. */
+    /**
+     * Ends the attempts that still wait for a connection once no client waits for the request: they must not be sent
+     * when their connection comes up, whether they may be cancelled or not.
+     */
     private void cancelUnsentAttempts(OpenRequest openRequest) {
         for (Attempt attempt : List.copyOf(openRequest.attempts)) {
             if (!attempt.ended && !attempt.started()) {
@@ -570,6 +603,7 @@
         }
     }
 
+    /** The client has disconnected: the request is closed, and attempts that were not sent yet end. */
     void clientDisconnected(OpenRequest openRequest) {
         if (openRequest.closed()) {
             return;
@@ -581,7 +615,7 @@
         removeIfDone(openRequest);
     }
 
-    /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
+    /** Ends an attempt, once. The first complete response with status 200 is passed to the client unchanged. */
     void attemptEnded(Attempt attempt, Outcome outcome, FullHttpResponse response) {
         if (attempt.ended) {
             return;
@@ -599,7 +633,10 @@
         reportAttempt(attempt, outcome, response);
     }
 
-    /** What the module learns of an attempt; the head of the answer, where there is one, may tell more. */
+    /**
+     * Reports the end of an attempt to the decision module, with the load metrics and the quota use from the head of
+     * the response if there is one.
+     */
     private void reportAttempt(Attempt attempt, Outcome outcome, HttpResponse response) {
         tally.addAttempt(outcome);
         OpenRequest openRequest = attempt.owner;
@@ -623,7 +660,10 @@
         removeIfDone(openRequest);
     }
 
-    /** Whom to answer, for the one caller that ends the request; null for all later ones (rule 1). */
+    /**
+     * Ends the request. Returns the client to answer to the first caller and null to all later ones, so that a request
+     * gets only one response.
+     */
     private ClientConnection closeRequest(OpenRequest openRequest) {
         if (!openRequest.closed()) {
             metrics.requestClosed();
@@ -632,8 +672,9 @@
     }
 
     /**
-     * An answer too long to be kept has begun: with it the host's work is done, which is what the module asks. Null
-     * where no client waits for it. The request counts as open until the transfer ends.
+     * Starts to stream a response that is too long to be buffered. The host has finished its work by then, which is
+     * what counts for the decision module. Returns null if no client waits for the response. The request counts as open
+     * until the transfer ends.
      */
     ResponseTransfer responseStarted(Attempt attempt, HttpResponse head, ResponseTransfer.Source source) {
         if (attempt.ended) {
@@ -651,12 +692,12 @@
         return transfer;
     }
 
-    /** The end of an answer's transfer; {@code end} is null where its client had left. */
-    void transferEnded(String requestClass, Metrics.Result end) {
+    /** Records the end of a response transfer; {@code result} is null if the client closed its connection. */
+    void transferEnded(String requestClass, Metrics.Result result) {
         metrics.requestClosed();
-        if (end != null) {
-            metrics.recordResult(requestClass, end);
-            tally.add(end == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
+        if (result != null) {
+            metrics.recordResult(requestClass, result);
+            tally.add(result == Metrics.Result.SUCCESS ? Tally.Count.SERVED : Tally.Count.CUT_OFF);
         }
     }
 
@@ -669,6 +710,7 @@
         }
     }
 
+    /** Applies a list of hosts and passes it to the decision module. */
     void hostListReceived(HostListKind kind, List<Discovery.Entry> entries) {
         Runnable rejectWaiting = hostClient.updateHosts(kind, entries);
         List<Host> list = new ArrayList<>(entries.size());
@@ -690,7 +732,7 @@
         deliver((now, m) -> m.peerMessageReceived(now, peer, data));
     }
 
-    // ---- what the module does
+    // ---- actions of the decision module
 
     @Override
     public void send(String id, String host, double timeoutMs) {
@@ -711,7 +753,7 @@
         hostClient.send(attempt);
     }
 
-    /** Whether an attempt may go out now; one that may not has ended without having run. */
+    /** Whether an attempt may be sent now. An attempt that may not be sent ends as one that never ran. */
     boolean maySend(Attempt attempt) {
         DispatchRule.Verdict verdict = DispatchRule.check(
                 attempt.owner,
@@ -724,7 +766,7 @@
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientDisconnected(attempt.owner); // ends all attempts that have not begun
+            clientDisconnected(attempt.owner); // ends all attempts that have not started
         }
         if (!attempt.ended) {
             attempt.abandon();
@@ -733,7 +775,7 @@
         return false;
     }
 
-    /** Checks at run time what {@link #maySend} has decided: no byte leaves for a request that has ended. */
+    /** Checks at run time that {@link #maySend} was obeyed: no byte is written for a request that has ended. */
     void checkBeforeWrite(Attempt attempt) {
         if (attempt.ended || attempt.owner.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
@@ -797,11 +839,11 @@
         counterClient.add(name, amount, lifetimeMs);
     }
 
-    /** Discovery is always watched. */
+    /** Does nothing, as discovery is always watched. */
     @Override
     public void subscribeHosts() {}
 
-    // ---- the end
+    // ---- shutdown
 
     private void drainAndHalt() {
         log("ending: no new clients, " + metrics.openRequests() + " requests open");
@@ -819,11 +861,14 @@
         Runtime.getRuntime().halt(0);
     }
 
-    /** Accepts on for a while, since clients still come; answers all; then lets the process end. */
+    /**
+     * Drains the node: it accepts new connections for a while, as clients still arrive, answers all requests and then
+     * lets the process end.
+     */
     void drain() {
         terminating = true;
         if (clientServer.listener() == null) {
-            drained.countDown(); // nobody was let in
+            drained.countDown(); // no client was ever accepted
             return;
         }
         drain.begin();
@@ -831,18 +876,19 @@
         loop.schedule(
                 () -> stopAccepting(latest),
                 Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
-                TimeUnit.MILLISECONDS); // after the first sweep, which is due at the same time
+                TimeUnit.MILLISECONDS); // after the drain's first sweep, which is due at the same time
         loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
     }
 
-    /** The drain's time is up: whatever is open is answered now, and so is whatever still comes. */
+    /** Ends the drain: every open request is answered now, and so is every request that still arrives. */
     void endOpenRequests() {
         drainExpired = true;
         for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
-            timeOutAttempts(openRequest); // the module refuses or fails it, as its further attempts are void now
+            timeOutAttempts(openRequest); // the module refuses or fails it, as further attempts are not allowed
         }
         for (OpenRequest openRequest : List.copyOf(openRequests.values())) {
-            if (!openRequest.closed()) { // still held: what was never sent is refused, as coming again does no harm
+            // Still queued. A request that was never sent is refused, as a retry by the client does no harm.
+            if (!openRequest.closed()) {
                 respond(
                         openRequest,
                         openRequest.attempts.isEmpty()
@@ -854,14 +900,17 @@
         clientServer.closeAll();
     }
 
+    /** Whether the drain's time is up. */
     boolean drainExpired() {
         return drainExpired;
     }
 
     /**
-     * Not in the turn that closes idle connections: what their clients ask anew would wait in a closed listener. Nor
-     * while some wait to be accepted, as a close would reset them; a listener that another process serves too may be
-     * left to it.
+     * Stops accepting once no client is about to connect and none waits in the listener's queue.
+     *
+     * <p>Closing the listener in the loop iteration that closes idle connections would lose the requests that their
+     * clients send at once on new connections. Closing it while connections wait in its queue would reset them. If
+     * another process serves on the same listener, the queue may be left to that process.
      */
     private void stopAccepting(double latest) {
         boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
@@ -883,6 +932,7 @@
         }
     }
 
+    /** Waits until all requests are answered; false if the time limit passes first. */
     boolean awaitDrained(long ms) throws InterruptedException {
         return drained.await(ms, TimeUnit.MILLISECONDS);
     }
@@ -891,14 +941,17 @@
         return peerLink;
     }
 
-    /** The port of the listener, where the configuration left it to the system; 0 before clients are let in. */
+    /**
+     * The port of the listener, which the system chooses if the configuration has port 0. Returns 0 before clients are
+     * accepted.
+     */
     int port() {
         return clientServer.listener() == null
                 ? 0
                 : ((java.net.InetSocketAddress) clientServer.listener().localAddress()).getPort();
     }
 
-    /** Ends everything at once and answers nothing. */
+    /** Stops the event loop at once, without a response to open requests. */
     void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
