--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -4,12 +4,12 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** One attempt of an open request at one host. */
+/** One attempt to get an open request served by one host. */
 final class Attempt extends HostClient.Exchange {
     final OpenRequest owner;
     final int number;
     final String host;
-    double sentAt; // where its body was passed on as it came: when the last byte left
+    double sentAt; // for a streamed request, when the last byte of its body was sent
     private final Node node;
     boolean ended;
 
--- a/src/main/java/deckfall/net/DispatchRule.java
+++ b/src/main/java/deckfall/net/DispatchRule.java
@@ -1,29 +1,29 @@
 package deckfall.net;
 
 /**
- * The one place that decides whether a request may go out to a server now, as a first attempt, a retry or a hedged one.
- * It is asked when an attempt is decided on, and again in the turn in which its bytes would be written, as in between it
- * may have waited for a connection.
+ * Decides whether a request may be sent to a server now, as a first attempt, a retry or a hedged attempt. All checks
+ * are made here. They run when an attempt is created and again in the loop iteration that would write its bytes, as the
+ * attempt may have waited for a connection in between.
  */
 final class DispatchRule {
-    /** Whether it may, or why not. */
+    /** Whether the attempt may be sent, or the reason why not. */
     enum Verdict {
         ALLOWED,
-        /** The drain's time is up: an answer could not come before the process is killed. */
+        /** The drain's time is up: a response could not arrive before the process is killed. */
         SHUT_DOWN,
-        /** The request has its final answer, or its client is known to have gone. */
+        /** The request has its final response, or its client is known to have disconnected. */
         ENDED,
         DEADLINE_PASSED,
-        /** The body was passed on while it came, and can't be sent again. */
+        /** The body was streamed while it was received, and cannot be sent again. */
         BODY_SPENT,
         ATTEMPTS_USED,
-        /** The client has closed its connection by now. */
+        /** The client has closed its connection. */
         CLIENT_GONE
     }
 
     private DispatchRule() {}
 
-    /** {@code attempt} counts from 0; {@code shutDown} is whether the drain's time is up. */
+    /** Checks an attempt. {@code attempt} counts from 0; {@code shutDown} is whether the drain's time is up. */
     static Verdict check(OpenRequest openRequest, int attempt, double now, int maxAttempts, boolean shutDown) {
         if (shutDown) {
             return Verdict.SHUT_DOWN;
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -49,33 +49,33 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Connections to hosts, one request at a time on each, and what became of what was sent. */
+/** Pooled HTTP/1.1 connections to hosts, with one request at a time on each, and the outcome of what was sent. */
 final class HostClient {
     private static final String HOST_HEADER_VALUE = "backend.local";
     private static final String NEVER_RAN_HEADER = "X-Never-Ran";
     private static final String LOAD_METRICS_HEADER = "Endpoint-Load-Metrics";
     private static final String QUOTA_USED_HEADER = "X-Quota-Used";
-    private static final int MAX_USED_PCT = 100_000; // in percent: more is no use that a gateway could act on
-    private static final double IDLE_LIMIT_FRACTION =
-            0.6; // of the time after which a host may close an idle connection
-    private static final double MIN_IDLE_LIMIT_MS = 50; // so fresh a connection that its end says nothing of idleness
-    private static final double IDLE_LIMIT_DECREASE = 0.8; // of the idle time at which a connection was found ended
-    private static final double IDLE_LIMIT_GROWTH = 1.02; // a sweep, so that a spell of early closes passes
-    private static final double STALE_CONNECTION_MS =
-            50; // a reset so soon after a request: the host had closed before it
-    private static final double REUSE_DELAY_MS =
-            30; // a second copy of an answer may come some milliseconds after the first
+    private static final int MAX_USED_PCT = 100_000; // a larger value makes no difference to a gateway
+    // of the time after which a host may close an idle connection
+    private static final double IDLE_LIMIT_FRACTION = 0.6;
+    private static final double MIN_IDLE_LIMIT_MS = 50; // a close after a shorter idle time does not lower the limit
+    private static final double IDLE_LIMIT_DECREASE = 0.8; // of the idle time at which a host closed a connection
+    private static final double IDLE_LIMIT_GROWTH = 1.02; // per sweep, to recover from a period of early closes
+    // after a write; a reset within this time means that the host had closed the connection before it
+    private static final double STALE_CONNECTION_MS = 50;
+    // a duplicate of a response may arrive some milliseconds after it
+    private static final double REUSE_DELAY_MS = 30;
     private static final long IDLE_SWEEP_INTERVAL_MS = 500;
-    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // of an answer: beyond this it is passed on as it comes
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // of a response; a longer one is streamed
     private static final double MAX_DESCRIPTOR_FRACTION = 0.45; // of all descriptors
     /**
-     * Descriptors for all else: 22 of a process that has just started, discovery and the counter, 16 callers at the
-     * operator's address, files that are read anew, and those that are closed only at the loop's next turn, of which
-     * a turn that accepts leaves up to 16.
+     * Descriptors for all other uses: 22 of a process that has just started, discovery and the counter, 16 connections
+     * at the operator's address, files that are reloaded, and descriptors that are closed only in the next iteration of
+     * the event loop, of which an iteration that accepts connections leaves up to 16.
      */
     static final int RESERVED_DESCRIPTORS = 64;
 
-    private static final int RESERVED_DIVISOR = 4; // one in so many, where there are few
+    private static final int RESERVED_DIVISOR = 4; // if descriptors are few, at most 1/4 of them is reserved
     private static final double PROBE_TIMEOUT_MS = 250;
 
     private final Node node;
@@ -83,7 +83,7 @@
     private final Bootstrap bootstrap;
     private final int maxConnections;
     private final ConnectionLimits connectionLimits;
-    private volatile int connections; // changed on the event loop alone
+    private volatile int connections; // written on the event loop only
 
     HostClient(Node node) {
         this.node = node;
@@ -99,36 +99,44 @@
         node.loop.schedule(this::closeIdle, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The most connections to hosts, where there are so many descriptors and clients hold all that they may. */
+    /**
+     * The maximum number of connections to hosts with {@code sockets} descriptors, while clients hold their full share.
+     */
     static int connectionLimit(int sockets) {
         int left = sockets - ConnectionLimits.maxKeepAlive(sockets) - reservedDescriptors(sockets);
         return (int) Math.min(sockets * MAX_DESCRIPTOR_FRACTION, left);
     }
 
-    /** How many descriptors are left to all but clients and hosts, where there are so many. */
+    /** The number of descriptors reserved for uses other than clients and hosts. */
     static int reservedDescriptors(int sockets) {
         return Math.min(RESERVED_DESCRIPTORS, sockets / RESERVED_DIVISOR);
     }
 
-    /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
+    /** One request to a host, which ends exactly once; its owner ignores later calls. */
     abstract static class Exchange {
         private Connection connection;
         private boolean started;
 
-        /** Whether something of it may have left: until then it waits for a connection to come up. */
+        /** Whether bytes of the request may have been sent. Until then it waits for a connection. */
         final boolean started() {
             return started;
         }
 
-        /** Whether it may still leave, asked in the turn in which its first byte would; if not, it has ended. */
+        /**
+         * Whether the request may still be sent. Called in the loop iteration that would write its first byte. If it
+         * returns false, the exchange has ended.
+         */
         boolean maySend() {
             return true;
         }
 
-        /** Its first byte leaves in this turn. */
+        /** Called just before the first byte is written. */
         void beforeWrite() {}
 
-        /** Its host takes nothing new any more, and it had to wait for a connection there. */
+        /**
+         * Ends the exchange as {@code FULL} if it still waits for a connection, as its host takes no new requests any
+         * more.
+         */
         private void rejectIfWaiting() {
             if (connection != null && !started) {
                 abandon();
@@ -136,20 +144,23 @@
             }
         }
 
-        /** How it ended; the response, where there is one, is only lent. */
+        /** Called at the end. The response, if there is one, is released after the call. */
         abstract void onEnd(Outcome outcome, FullHttpResponse response);
 
-        /** Whose body is passed on, where the message is a head alone. */
+        /** The message whose body is streamed if only its head is sent at first; else null. */
         IncomingRequest requestBody() {
             return null;
         }
 
-        /** An answer too long to be kept has begun; null where nobody waits for such a one. */
+        /**
+         * Called when a response starts that is too long to be buffered. Returns null if nothing waits for a streamed
+         * response.
+         */
         ResponseTransfer responseStarted(HttpResponse head, ResponseTransfer.Source source) {
             return null;
         }
 
-        /** Stops waiting: its connection closes, so late bytes can never reach another request. */
+        /** Abandons the exchange and closes its connection, so that late bytes never reach another request. */
         final void abandon() {
             Connection c = connection;
             connection = null;
@@ -159,14 +170,14 @@
         }
     }
 
-    /** The connections to one host at one address in one life of its process. */
+    /** The connections to one host at one address. A host that has restarted gets a new pool. */
     private static final class Pool {
         final InetSocketAddress address;
         final double startedMs;
-        final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the last used at the end
-        final Set<Connection> connecting = new LinkedHashSet<>(); // each for what waits for it
+        final ArrayDeque<Connection> idle = new ArrayDeque<>(); // in order of last use, the most recent at the end
+        final Set<Connection> connecting = new LinkedHashSet<>(); // each with the exchange that waits for it
         private final double maxIdleLimitMs;
-        double idleLimitMs; // idle for longer than this, a connection is not used again
+        double idleLimitMs; // a connection that was idle for longer is not reused
         boolean closed;
 
         Pool(InetSocketAddress address, double startedMs, double maxIdleLimitMs) {
@@ -176,28 +187,33 @@
             this.idleLimitMs = maxIdleLimitMs;
         }
 
-        /** The settings tell only the latest time at which a host closes an idle connection; this one was earlier. */
+        /**
+         * Lowers the idle limit after a host closed a connection that was idle for {@code idleMs}: the settings only
+         * give the latest time at which a host closes an idle connection, and this host closed it earlier.
+         */
         void lowerIdleLimit(double idleMs) {
             if (idleMs > MIN_IDLE_LIMIT_MS) {
                 idleLimitMs = Math.max(MIN_IDLE_LIMIT_MS, Math.min(idleLimitMs, idleMs * IDLE_LIMIT_DECREASE));
             }
         }
 
+        /** Adds the exchanges that wait for a connection of this pool. */
         void addWaiting(List<Exchange> waiting) {
             connecting.stream().map(c -> c.exchange).filter(Objects::nonNull).forEach(waiting::add);
         }
 
+        /** Raises the idle limit by one step, up to the limit from the settings. */
         void raiseIdleLimit() {
             idleLimitMs = Math.min(maxIdleLimitMs, idleLimitMs * IDLE_LIMIT_GROWTH);
         }
     }
 
-    // ---- the list
+    // ---- the host list
 
     /**
-     * Takes the list over. What still waits for a connection to a host that is to get nothing new, or for one to a
-     * former life of a host, would be sent by the time that it comes up: the caller turns it back, once the module
-     * knows the list too.
+     * Applies a list of hosts. Exchanges that still wait for a connection to a host that drains, was removed or has
+     * restarted would be sent once that connection comes up. The returned action ends them; the caller runs it after
+     * the decision module has received the list.
      */
     Runnable updateHosts(HostListKind kind, List<Discovery.Entry> entries) {
         List<Exchange> waiting = new ArrayList<>();
@@ -236,17 +252,17 @@
         return () -> waiting.forEach(Exchange::rejectIfWaiting);
     }
 
-    /** From any thread: how many connections to hosts are open or come up. */
+    /** The number of connections to hosts that are open or being opened. Thread-safe. */
     int connections() {
         return connections;
     }
 
-    /** How many all processes of this gateway hold. */
+    /** The number of connections to hosts of all processes of this gateway together. */
     int totalConnections() {
         return node.totalAcrossProcesses(connections, SiblingWatch.SiblingCounts::hostConnections);
     }
 
-    /** How many hosts the list names. */
+    /** The number of hosts in the list. */
     int hostCount() {
         return pools.size();
     }
@@ -272,10 +288,10 @@
         }
     }
 
-    /** Makes room for one more connection at the cost of one that is idle somewhere. */
+    /** Whether one more connection may be opened; closes an idle connection of any pool if the limit is reached. */
     private boolean makeRoom() {
-        int most = Math.min(maxConnections, connectionLimits.maxHosts(node.totalClientConnections()));
-        if (totalConnections() < most) {
+        int limit = Math.min(maxConnections, connectionLimits.maxHosts(node.totalClientConnections()));
+        if (totalConnections() < limit) {
             return true;
         }
         for (Pool pool : pools.values()) {
@@ -288,13 +304,14 @@
         return false;
     }
 
-    // ---- asking
+    // ---- requests
 
+    /** Sends an attempt to its host. Its end is reported by {@link Exchange#onEnd}. */
     void send(Attempt attempt) {
         start(attempt.host, attempt, () -> requestFor(attempt));
     }
 
-    /** The whole message where its body has come, else the head alone. */
+    /** The complete message if its body has been received, else only its head. */
     private HttpRequest requestFor(Attempt attempt) {
         IncomingRequest message = attempt.owner.message;
         HttpRequest original = message.head;
@@ -325,17 +342,18 @@
         return request;
     }
 
+    /** Probes a host with a health check, or a load query if the settings name load metrics. */
     void probe(String host) {
         List<String> names = node.config.settings().loadMetricNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
         double sentAt = node.clock.now();
         Exchange probe = new Exchange() {
-            private boolean over;
+            private boolean ended;
 
             @Override
             void onEnd(Outcome outcome, FullHttpResponse response) {
-                if (!over) {
-                    over = true;
+                if (!ended) {
+                    ended = true;
                     node.probeEnded(
                             host,
                             outcome,
@@ -366,7 +384,7 @@
     private void start(String host, Exchange exchange, RequestFactory requestFactory) {
         Pool pool = pools.get(host);
         if (pool == null) {
-            exchange.onEnd(Outcome.CONNECT_FAILED, null); // its address was taken from the list
+            exchange.onEnd(Outcome.CONNECT_FAILED, null); // the host was removed from the list
             return;
         }
         Connection idle = takeIdle(pool);
@@ -382,8 +400,8 @@
     }
 
     /**
-     * The connection used last that has rested since its answer: a second copy of that, which may come late, would
-     * be read as the answer to what is asked on it next.
+     * The most recently used connection that has been idle for {@link #REUSE_DELAY_MS}, or null. A late duplicate of
+     * the previous response would be read as the response to the next request on the connection.
      */
     private Connection takeIdle(Pool pool) {
         double now = node.clock.now();
@@ -403,6 +421,7 @@
         return null;
     }
 
+    /** Creates a request when its connection is ready, as its remaining time depends on that. */
     private interface RequestFactory {
         HttpRequest create();
     }
@@ -425,7 +444,7 @@
                 .connect(pool.address);
         connecting.addListener(f -> node.runOnLoop(() -> {
             pool.connecting.remove(connection);
-            if (!f.isSuccess()) { // also where no descriptor was left: then there is no channel to close
+            if (!f.isSuccess()) { // also if no descriptor was left; then there is no channel to close
                 connections--;
                 connection.connectionLost();
                 return;
@@ -444,16 +463,16 @@
         private final StrictResponseDecoder decoder = new StrictResponseDecoder();
         private SocketChannel channel;
         private Exchange exchange;
-        private IncomingRequest streamedBody; // whose body is passed on here
-        private HttpResponse responseHead; // of the answer that is coming
-        private ByteBuf bufferedBody = Unpooled.EMPTY_BUFFER; // what is kept of it
-        private ResponseTransfer transfer; // where it is no longer kept
-        private FullHttpResponse completeResponse; // whole, until all that came with it has been read
-        private boolean transferComplete; // the same, where it was transferred
-        private boolean unexpectedData; // more has come than was asked for
-        private boolean requestWritten; // the request's last byte has left
+        private IncomingRequest streamedBody; // the message whose body is being streamed
+        private HttpResponse responseHead; // of the response that is being received
+        private ByteBuf bufferedBody = Unpooled.EMPTY_BUFFER; // the part of the response body that is buffered
+        private ResponseTransfer transfer; // set while the response is streamed
+        private FullHttpResponse completeResponse; // set until all bytes that were read with it are processed
+        private boolean transferComplete; // the same for a streamed response
+        private boolean unexpectedData; // data arrived that no request asked for
+        private boolean requestWritten; // the last byte of the request was sent
         private double idleSince;
-        private double idleBeforeRequestMs; // before what is asked now
+        private double idleBeforeRequestMs; // how long the connection was idle before the current request
         private double writeStartedAt;
 
         Connection(Pool pool) {
@@ -476,7 +495,7 @@
             }
         }
 
-        /** What was asked has left, or could not: also where nobody waits for the answer any more. */
+        /** The request was sent, or its write failed. Also called if the exchange has been abandoned. */
         private void onRequestWritten(Exchange sent, boolean success) {
             if (success && sent instanceof Attempt) {
                 node.metrics.recordDispatch();
@@ -523,7 +542,7 @@
             return exchange instanceof Attempt a ? a.owner.traceId : "none";
         }
 
-        /** What was asked here ended without an answer. It may have run only once its last byte had left. */
+        /** Ends the exchange without a response. The host may have run the request only if its last byte was sent. */
         private void connectionLost() {
             if (exchange != null
                     && idleBeforeRequestMs > MIN_IDLE_LIMIT_MS
@@ -532,7 +551,7 @@
                         Tally.Count.CLOSED_EARLY,
                         traceId(),
                         pool.address.toString(),
-                        "its connection had been idle for " + (long) idleBeforeRequestMs + " ms");
+                        "the connection had been idle for " + (long) idleBeforeRequestMs + " ms");
                 pool.lowerIdleLimit(idleBeforeRequestMs);
             }
             ResponseTransfer broken = transfer;
@@ -561,6 +580,7 @@
             }
         }
 
+        /** Closes the connection without reporting an end to its exchange. */
         void discard() {
             exchange = null;
             stopStreaming();
@@ -575,7 +595,7 @@
             try {
                 HttpObject object = (HttpObject) message;
                 if (exchange == null && transfer == null || completeResponse != null) {
-                    unexpectedData = true; // nobody asked, or nobody waits any more
+                    unexpectedData = true; // there was no request, or it was abandoned
                     if (object instanceof HttpResponse) {
                         node.tally.add(Tally.Count.SURPLUS);
                     }
@@ -593,7 +613,7 @@
         private void handleObject(HttpObject object) {
             if (object instanceof HttpResponse response) {
                 if (!isDelimited(response)) {
-                    rejectResponse("nothing tells the length of " + response.status() + ", "
+                    rejectResponse("no length and no close announced for " + response.status() + ", "
                             + response.headers().names());
                     return;
                 }
@@ -606,8 +626,9 @@
         }
 
         /**
-         * Whether it shows where the answer ends. The end of the connection can, where the host has announced it and
-         * it is no reset; unannounced it can't be told from a break.
+         * Whether the end of the response can be recognized. The end of the connection marks it only if the host has
+         * announced that with a Connection: close header and the connection is not reset; an unannounced end cannot be
+         * told from a failure.
          */
         private boolean isDelimited(HttpResponse response) {
             return HttpUtil.isContentLengthSet(response)
@@ -626,7 +647,7 @@
         private void handleContent(HttpContent content) {
             int bytes = content.content().readableBytes();
             if (transfer == null && bufferedBody.readableBytes() + bytes > MAX_BUFFERED_BYTES && !startTransfer()) {
-                rejectResponse("longer than any answer that is kept");
+                rejectResponse("response too long to be buffered");
                 return;
             }
             if (transfer != null) {
@@ -647,12 +668,12 @@
         }
 
         private ByteBuf takeBufferedBody() {
-            ByteBuf kept = bufferedBody;
+            ByteBuf body = bufferedBody;
             bufferedBody = Unpooled.EMPTY_BUFFER;
-            return kept;
+            return body;
         }
 
-        /** Begins to pass the answer on, if it is one that a client waits for. */
+        /** Starts to stream the response if it is successful and a client waits for it. */
         private boolean startTransfer() {
             boolean success = requestWritten && outcome(responseHead) == Outcome.OK;
             transfer = success ? exchange.responseStarted(responseHead, this) : null;
@@ -682,8 +703,8 @@
         }
 
         /**
-         * An answer ends its exchange only here: what came behind it, a second copy or a longer body than it told,
-         * would be read as the answer to whatever is asked next on this connection.
+         * Ends the exchange only once all received bytes are processed. Bytes after the response, such as a duplicate
+         * or a body that is longer than declared, would be read as the response to the next request on this connection.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -739,8 +760,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (pool.idle.remove(this)) {
-                pool.lowerIdleLimit(
-                        node.clock.now() - idleSince); // by the host: what is closed here left the pool first
+                // Closed by the host: connections that this side closes leave the pool first.
+                pool.lowerIdleLimit(node.clock.now() - idleSince);
             }
             connectionLost();
             takeBufferedBody().release();
@@ -763,29 +784,33 @@
         return overloaded && "1".equals(response.headers().get(NEVER_RAN_HEADER)) ? Outcome.FULL : Outcome.ERROR;
     }
 
-    // ---- the meter
+    // ---- quota meter
 
-    /** One more than the customer's told use in percent; 0 where no value of the answer can be read. */
+    /** The customer's reported use of its quota in percent, plus one; 0 if the response has no readable value. */
     int usedPct(HttpResponse response) {
         int used = 0;
         for (String value : response.headers().getAll(QUOTA_USED_HEADER)) {
             try {
                 used = Math.max(used, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
             } catch (NumberFormatException e) {
-                // a damaged line beside a good one tells nothing
+                // a malformed line beside a valid one is ignored
             }
         }
         return used;
     }
 
-    // ---- load reports
+    // ---- load metrics
 
+    /** The load metrics that the response reports; empty if it has none that can be parsed. */
     double[] loadMetrics(HttpResponse response) {
         String text = response.headers().get(LOAD_METRICS_HEADER);
         return text == null ? new double[0] : parseLoadMetrics(text);
     }
 
-    /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
+    /**
+     * Parses {@code TEXT a=1, b=2}. Returns the values named in the settings, in their order, or an empty array if one
+     * is missing.
+     */
     private double[] parseLoadMetrics(String text) {
         List<String> names = node.config.settings().loadMetricNames();
         Map<String, Double> values = new HashMap<>();
--- a/src/main/java/deckfall/net/StrictResponseDecoder.java
+++ b/src/main/java/deckfall/net/StrictResponseDecoder.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Reads a host's answers, and calls one with a header line that is no header unreadable. Netty's own reading of
- * responses ends a name at the first blank, so a line without a colon passes there as a header without a value.
+ * Decodes responses of hosts and rejects header lines without a colon. Netty's response decoder also ends a header name
+ * at the first whitespace, so it accepts a line without a colon as a header without a value.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
     private final MessageProgress messageProgress = new MessageProgress();
@@ -23,13 +23,13 @@
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        if (line[start + length] != ':') { // there is a byte: the name ends before a colon or a blank
-            throw new IllegalArgumentException("no colon after a header's name");
+        if (line[start + length] != ':') { // in bounds, as the name ends before a colon or whitespace
+            throw new IllegalArgumentException("no colon after a header name");
         }
         return super.splitHeaderName(line, start, length);
     }
 
-    /** True where bytes have come that are no whole message yet. */
+    /** Whether a part of a message has been received that is not complete yet. */
     boolean hasPartialMessage() {
         return actualReadableBytes() > 0 || messageProgress.insideMessage();
     }
