--- a/src/main/java/deckfall/net/Backoff.java
+++ b/src/main/java/deckfall/net/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.Random;
 
-/** Waits before further tries: longer with each failure up to a bound, and spread, so that a herd does not stay one. */
+/**
+ * Exponential backoff with jitter: delays grow with each failure up to a maximum and are spread at random, so that
+ * clients which failed together do not retry together.
+ */
 final class Backoff {
     private final long minMs;
     private final long maxMs;
@@ -16,13 +19,14 @@
         this.currentMs = minMs;
     }
 
-    /** Between half of the present span and all of it; the next span is twice as long. */
+    /** Returns a delay between half of the current bound and all of it, and doubles the bound for the next call. */
     long nextDelayMs() {
         long delayMs = currentMs / 2 + random.nextInt((int) (currentMs - currentMs / 2) + 1);
         currentMs = Math.min(maxMs, 2 * currentMs);
         return delayMs;
     }
 
+    /** Starts again with the minimum, after a success. */
     void reset() {
         currentMs = minMs;
     }
--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -37,18 +37,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks what has changed since the list in hand, or for the whole list where there is none, then watches it without a
- * break; a silent or broken call is asked anew. A list is work by its length for a discovery that all gateways share:
- * where many start at once and each asks for all of it, their calls fail for seconds.
+ * Keeps the list of hosts up to date with long-polling calls to discovery. It requests the changes since the version it
+ * has, or the full list if it has none, and then polls without a break; a call that fails or times out is retried.
+ *
+ * <p>A full list costs discovery work in proportion to its length, and all gateways share one discovery. If many
+ * gateways start at once and each requests the full list, their calls fail for seconds.
  */
 final class Discovery {
     static final String SERVERS_FIELD = "servers";
     private static final String SERVERS_PATH = "/v1/servers";
-    private static final long FIRST_LIST_TIMEOUT_MS = 1000; // a gateway starts without discovery, but not beside it
+    private static final long FIRST_LIST_TIMEOUT_MS = 1000; // then the gateway starts with the known list
     private static final int MAX_LIST_BYTES = 4 << 20;
 
-    /** A host with the address at which this api gateway reaches it. */
+    /** A host with the address at which this API gateway reaches it. */
     record Entry(Host host, InetSocketAddress address) {
+        /** The same entry in another state. */
         Entry withState(HostState state) {
             return new Entry(
                     new Host(host.id(), host.zone(), host.kind(), host.cell(), state, host.rating(), host.startedMs()),
@@ -63,8 +66,8 @@
     private Channel channel;
     private Future<?> timeout;
     private boolean failureLogged;
-    private long version; // -1: the whole list is still to come
-    private boolean catchingUp = true; // what has changed since that version is still to come
+    private long version; // -1 if the full list must be requested
+    private boolean catchingUp = true; // the changes since that version have not been received yet
     private final StaleListFilter staleListFilter = new StaleListFilter();
     private final CountDownLatch firstList = new CountDownLatch(1);
 
@@ -80,8 +83,8 @@
     }
 
     /**
-     * Waits, on another thread than the loop, until the module knows the present list. The one from before a restart
-     * names hosts that drain by now, and no client is to be sent there.
+     * Waits until the decision module has the current list, up to a time limit. Must not be called on the event loop. A
+     * list from before a restart may name hosts that drain by now, and no client request is to be sent to those.
      */
     void awaitFirstList() throws InterruptedException {
         if (!firstList.await(FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
@@ -112,18 +115,18 @@
         });
     }
 
-    /** Asks at another address from now on, for the whole list first. */
+    /** Switches to another address, where the full list is requested first. */
     void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
-        Node.log("discovery: moves from " + address + " to " + newAddress);
+        Node.log("discovery: address changed from " + address + " to " + newAddress);
         address = newAddress;
         version = -1;
         catchingUp = true;
         timing.onAddressChange();
         if (channel != null) {
-            channel.close(); // its end leads to the new address
+            channel.close(); // the reconnect goes to the new address
         }
     }
 
@@ -138,15 +141,16 @@
         node.loop.schedule(this::connect, ms, TimeUnit.MILLISECONDS);
     }
 
+    /** Sends the calls of one connection, one after another, and handles their responses. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private boolean closing; // an answer has come with which discovery ends the connection
+        private boolean closing; // discovery closes the connection after this response
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             sendCall();
             if (!address.equals(channel.remoteAddress())) {
-                channel.close(); // moved while it came up
+                channel.close(); // the address changed during the connect
             }
         }
 
@@ -177,17 +181,20 @@
             List<Entry> entries = staleListFilter.filter(listVersion, full, parseEntries(list));
             failureLogged = false;
             timing.onSuccess();
-            catchingUp = !full && listVersion < version; // versions are counted anew: changes since say nothing
+            // discovery restarted its version numbers, so its changes do not apply to our list
+            catchingUp = !full && listVersion < version;
             version = catchingUp ? -1 : listVersion;
-            if (full && !node.warmingUp()) { // once a start or a move: without this line the old list is still in use
-                Node.log("discovery: whole list of " + entries.size() + ", version " + version + ", from " + address);
+            // once per start or address change; without this line the old list is still in use
+            if (full && !node.warmingUp()) {
+                Node.log("discovery: full list of " + entries.size() + ", version " + version + ", from " + address);
             }
-            if (!full && !entries.isEmpty()) { // when each drain was heard of is asked first when one is not kept
+            // shows when each drain arrived, which is the first question after a lost request
+            if (!full && !entries.isEmpty()) {
                 Node.log("discovery: version " + version + ", " + describeChanges(entries) + ", at "
                         + (long) node.clock.now());
             }
             if (HttpUtil.isKeepAlive(response)) {
-                sendCall(); // the next call first, so that no change falls between
+                sendCall(); // the next call is sent first, so that no change is missed in between
             } else {
                 closing = true;
                 ctx.close();
@@ -212,7 +219,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!failureLogged && !node.warmingUp()) { // one line for a spell of failures, however often it is asked
+            if (!failureLogged && !node.warmingUp()) { // one line for failures in a row
                 Node.log("discovery: " + cause.getMessage());
             }
             failureLogged = true;
@@ -228,20 +235,25 @@
 
     private static boolean isFull(JsonNode list) {
         if (!list.path("full").isBoolean() || !list.path(SERVERS_FIELD).isArray()) {
-            throw new IllegalArgumentException("a list that does not say what it is");
+            throw new IllegalArgumentException("list without 'full' or 'servers'");
         }
         return list.path("full").asBoolean();
     }
 
-    /** A list that tells no version can't be watched on from; it is as malformed as one with an unknown state. */
+    /**
+     * The version of a list. Without it the next changes cannot be requested, so such a list is as malformed as one
+     * with an unknown state.
+     */
     private static long version(JsonNode list) {
         if (!list.path("version").isIntegralNumber()) {
-            throw new IllegalArgumentException("a list without a version");
+            throw new IllegalArgumentException("list without a version");
         }
         return list.path("version").asLong();
     }
 
-    /** The entries of a list in discovery's form; malformed ones are an {@link IllegalArgumentException}. */
+    /**
+     * Parses the entries of a list in discovery's format; throws {@link IllegalArgumentException} if one is malformed.
+     */
     static List<Entry> parseEntries(JsonNode list) {
         List<Entry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
@@ -249,7 +261,7 @@
             if (!item.path("id").isTextual()
                     || item.path("id").asText().isEmpty()
                     || !ids.add(item.path("id").asText())) {
-                throw new IllegalArgumentException("an entry without an id of its own");
+                throw new IllegalArgumentException("entry with a missing or duplicate id");
             }
             HostState state = switch (item.path("state").asText()) {
                 case "ready" -> HostState.RUNNING;
--- a/src/main/java/deckfall/net/FailureStreak.java
+++ b/src/main/java/deckfall/net/FailureStreak.java
@@ -3,15 +3,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * How long calls of one kind have been failing in a row, in real time. A call that still matters is made again in the
- * loop's next turn; one that is not, as nothing waits for it, says nothing of the time until the next one.
+ * Measures how long calls of one kind have been failing in a row, in real time. A call that is still needed is retried
+ * in the next iteration of the event loop. A failed call that is not retried, as nothing waits for it, says nothing
+ * about the time until the next call.
  */
 final class FailureStreak {
     private static final double NANOS_PER_MS = 1e6;
-    private static final double MAX_GAP_MS = 50; // between two failures of one spell
+    private static final double MAX_GAP_MS = 50; // between two failures of one streak
 
     private final LongSupplier clockNanos;
-    private boolean failing; // the last call has failed
+    private boolean failing; // whether the last call failed
     private long firstNanos;
     private long lastNanos;
 
@@ -23,7 +24,7 @@
         this.clockNanos = clockNanos;
     }
 
-    /** A call has failed; how many milliseconds ago the first one of the spell did. */
+    /** Records a failed call; returns the milliseconds since the first failure of the streak. */
     double recordFailure() {
         boolean begins = !isActive();
         failing = true;
@@ -34,14 +35,16 @@
         return (lastNanos - firstNanos) / NANOS_PER_MS;
     }
 
-    /** A call has succeeded; how many milliseconds the spell that ends with it has taken, 0 where there was none. */
+    /**
+     * Records a successful call; returns the length in milliseconds of the streak that it ends, or 0 if there was none.
+     */
     double recordSuccess() {
         double ms = isActive() ? (clockNanos.getAsLong() - firstNanos) / NANOS_PER_MS : 0;
         failing = false;
         return ms;
     }
 
-    /** Whether the last call has failed just now. */
+    /** Whether the last call failed, within the maximum gap before now. */
     boolean isActive() {
         return failing && (clockNanos.getAsLong() - lastNanos) / NANOS_PER_MS < MAX_GAP_MS;
     }
--- a/src/main/java/deckfall/net/StaleListFilter.java
+++ b/src/main/java/deckfall/net/StaleListFilter.java
@@ -8,22 +8,24 @@
 import java.util.Map;
 
 /**
- * Hosts that were told to drain or to be gone. A list of an older version, as of an agent that has fallen behind, can't
- * take that back: whoever drains in one life of its process is not ready again before the next one.
+ * Filters lists of an older version, for example from a discovery agent that lags behind, so that they do not revert a
+ * host that drains or is gone to a former state. A host that drains becomes ready again only after its process has
+ * restarted.
  */
 final class StaleListFilter {
     private static final int MAX_HOSTS = 4096;
 
+    /** That a host drains or is gone, and the start time of the process to which this applies. */
     private record Tombstone(HostState state, double startedMs) {}
 
     private final Map<String, Double> latestStartMs = bounded();
     private final Map<String, Tombstone> tombstones = bounded();
     private long newestVersion = Long.MIN_VALUE;
 
-    /** The entries of a list as they may be believed. */
+    /** Returns the entries of a list with stale states replaced by the newer known ones. */
     List<Entry> filter(long version, boolean full, List<Entry> entries) {
         boolean older = version < newestVersion;
-        if (full && !older) { // whoever it does not name is gone
+        if (full && !older) { // a host that a full list does not name is gone
             latestStartMs.forEach((id, started) -> tombstones.put(id, new Tombstone(HostState.GONE, started)));
         }
         newestVersion = Math.max(newestVersion, version);
