--- a/src/main/java/deckfall/net/ConfigReloader.java
+++ b/src/main/java/deckfall/net/ConfigReloader.java
@@ -6,20 +6,20 @@
 import java.util.function.Consumer;
 
 /**
- * Reads a replaced configuration again, on a thread of its own, as files may be slow. A file that can't be read, is
- * missing or malformed may be in the middle of its replacement: it is read again for a while, and meanwhile the old
- * configuration stays in force.
+ * Reloads a replaced configuration file, on a thread of its own, as file access may be slow. A file that is unreadable,
+ * missing or malformed may be in the middle of its replacement: the read is retried for a while, and the old
+ * configuration stays in use meanwhile.
  */
 final class ConfigReloader {
     private static final long RETRY_INTERVAL_MS = 200;
-    private static final int MAX_READS = 50; // ten seconds
-    private static final long THREAD_IDLE_SECONDS = 5; // then the thread ends until it is needed again
+    private static final int MAX_READS = 50; // 10 s in all
+    private static final long THREAD_IDLE_SECONDS = 5; // then the thread ends until the next reload
 
     private final Path file;
     private final Consumer<NodeConfig> onChange;
     private final ScheduledThreadPoolExecutor executor;
 
-    /** {@code changed} is called on the reloader's thread. */
+    /** Creates a reloader that calls {@code onChange} on its own thread. */
     ConfigReloader(Path file, Consumer<NodeConfig> onChange) {
         this.file = file;
         this.onChange = onChange;
@@ -32,7 +32,7 @@
         executor.allowCoreThreadTimeOut(true);
     }
 
-    /** From any thread. */
+    /** Starts a reload. Thread-safe. */
     void reload() {
         executor.execute(() -> read(MAX_READS));
     }
--- a/src/main/java/deckfall/net/CounterClient.java
+++ b/src/main/java/deckfall/net/CounterClient.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 
-/** Calls the shared counter: calls one behind another on one connection, whose answers come in the same order. */
+/** Client of the shared counter. Calls are pipelined on one connection and answered in order. */
 final class CounterClient {
-    private static final int MAX_PENDING_CALLS = 256; // a counter that is silent gets no more
+    private static final int MAX_PENDING_CALLS = 256; // further calls fail at once while the counter does not reply
     private static final long RECONNECT_DELAY_MS = 200;
-    private static final double MAX_CALL_AGE_MS = 5000; // the oldest call's age at which the connection is given up
+    private static final double MAX_CALL_AGE_MS = 5000; // age of the oldest call at which the connection is closed
     private static final int MAX_LINE_BYTES = 512;
     private static final Pattern NUMBER_PATTERN =
             Pattern.compile("\\s*[-+]?(\\d+(\\.\\d*)?|\\.\\d+)([eE][-+]?\\d+)?\\s*");
@@ -32,7 +32,7 @@
     private InetSocketAddress address;
     private Channel channel;
 
-    /** Told of its end once, at the latest when its time is up; its answer may come later still. */
+    /** A call whose end is reported once, at its timeout at the latest. Its reply may still arrive after that. */
     private final class Call {
         final String counter;
         final double sentAt = node.clock.now();
@@ -85,7 +85,7 @@
         node.loop.schedule(this::connect, RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Calls at another address from now on. */
+    /** Switches to another address. */
     void moveTo(InetSocketAddress newAddress) {
         if (newAddress == null || newAddress.equals(address)) {
             return;
@@ -95,10 +95,11 @@
         if (first) {
             connect();
         } else if (channel != null) {
-            channel.close(); // its end leads to the new address
+            channel.close(); // the reconnect goes to the new address
         }
     }
 
+    /** Adds an amount to a counter. The result is reported by {@link Node#counterCallEnded}. */
     void add(String counter, double amount, double lifetimeMs) {
         Call call = new Call(counter);
         if (!pendingCalls.isEmpty() && call.sentAt - pendingCalls.peek().sentAt > MAX_CALL_AGE_MS && channel != null) {
@@ -122,7 +123,10 @@
         return "$" + text.length() + "\r\n" + text + "\r\n";
     }
 
-    /** Java also reads words and letters as numbers; a total of no size would spoil all that is reckoned from it. */
+    /**
+     * Parses a finite decimal number. {@link Double#parseDouble} also accepts forms such as "NaN" and "1f", and a total
+     * that is not finite would corrupt every value computed from it.
+     */
     private static double parseNumber(String text) {
         double number = NUMBER_PATTERN.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         if (!Double.isFinite(number)) {
@@ -131,7 +135,7 @@
         return number;
     }
 
-    /** Replies of the Redis protocol: an error's line, or a length's line and the total's. */
+    /** Handles replies of the Redis protocol: a line with an error, or a line with a length followed by the total. */
     private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean totalFollows;
 
@@ -139,25 +143,25 @@
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             if (!address.equals(channel.remoteAddress())) {
-                channel.close(); // moved while it came up
+                channel.close(); // the address changed during the connect
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
             if (!ctx.channel().isActive()) {
-                return; // behind an answer that could not be read
+                return; // data after a reply that could not be parsed
             }
             String text = line.toString(StandardCharsets.US_ASCII);
             if (!totalFollows && text.startsWith("$") && !text.startsWith("$-")) {
                 totalFollows = true;
                 return;
             }
-            Call call = pendingCalls.peek(); // ends with the connection where its answer holds no number
+            Call call = pendingCalls.peek(); // if its reply has no number, the call ends with the connection
             boolean total = totalFollows;
             totalFollows = false;
             if (call == null) {
-                ctx.close(); // more answers than calls: none can be told from another
+                ctx.close(); // more replies than calls, so replies cannot be matched to calls
             } else if (total) {
                 call.complete(Outcome.OK, parseNumber(text));
             } else if (text.startsWith("-")) {
@@ -168,7 +172,7 @@
             pendingCalls.poll();
         }
 
-        /** What had been written may have been added. */
+        /** Ends all pending calls as {@code RESET}: the counter may have added what was sent. */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             channel = null;
@@ -178,7 +182,10 @@
             scheduleReconnect();
         }
 
-        /** No number where one is due: the amount was added, and what follows can't be told apart. */
+        /**
+         * Closes the connection after a reply without a number: the amount was added, and later replies cannot be
+         * matched to their calls.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -23,7 +23,9 @@
 import java.util.StringJoiner;
 import java.util.TreeMap;
 
-/** What this api gateway was told at its start; anything missing or malformed is a {@link BadConfig}. */
+/**
+ * The configuration of this API gateway; a missing or malformed entry is reported as an {@link InvalidConfigException}.
+ */
 record NodeConfig(
         InetSocketAddress listen,
         InetSocketAddress operator,
@@ -43,12 +45,12 @@
     private static final int HEX_RADIX = 16;
     private static final String OPERATOR_KEY = "operator";
     private static final int DEFAULT_SOCKETS = 1024;
-    private static final int REHEARSAL_SOCKETS = 32; // beside a process that serves, and may hold all the others
+    private static final int WARM_UP_SOCKETS = 32; // as a serving process may hold all the others
     private static final double DEFAULT_CONNECTION_IDLE_MS = 15_000;
     private static final double DEFAULT_COUNTER_TIMEOUT_MS = 80;
     private static final double DEFAULT_MAX_OPEN_REQUESTS = 20_000;
 
-    /** One plain line on what is wrong with the configuration. */
+    /** Says in one line what is wrong with the configuration. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -63,12 +65,13 @@
             this.isTransient = isTransient;
         }
 
-        /** Whether the file could not be read just now, so that it may be a moment later. */
+        /** Whether the file was unreadable for a temporary reason, so that a retry may succeed. */
         boolean isTransient() {
             return isTransient;
         }
     }
 
+    /** Reads and checks a configuration file. */
     static NodeConfig read(String file) throws InvalidConfigException {
         if (file == null || file.isEmpty()) {
             throw new InvalidConfigException("NODE_CONFIG names no file");
@@ -98,6 +101,7 @@
         }
     }
 
+    /** Builds the configuration from JSON; throws {@link IllegalArgumentException} if an entry is invalid. */
     static NodeConfig of(JsonNode root) {
         if (!root.isObject()) {
             throw new IllegalArgumentException("not a JSON object");
@@ -131,19 +135,19 @@
                 (int) fields.number("limits.max_open", DEFAULT_MAX_OPEN_REQUESTS));
     }
 
-    /** Whether the list that it starts with tells of changes: then it had that list in service before a restart. */
+    /** Whether the known list contains changes, which means that the gateway had it in use before a restart. */
     boolean wasInService() {
         return knownList.path("version").asLong() > 0;
     }
 
-    /** The version of the list that it starts with; -1 where that names no host. */
+    /** The version of the known list; -1 if it names no host. */
     long knownVersion() {
         return knownList.path(Discovery.SERVERS_FIELD).isEmpty()
                 ? -1
                 : knownList.path("version").asLong(-1);
     }
 
-    /** The same settings for a node at {@code at} that is its own discovery and only host. */
+    /** The same settings for a node at {@code at} that is its own discovery and its only host. */
     NodeConfig forWarmUp(InetSocketAddress at) {
         ObjectNode self = JsonNodeFactory.instance
                 .objectNode()
@@ -165,7 +169,7 @@
                 null,
                 List.of(),
                 null,
-                Math.min(sockets, REHEARSAL_SOCKETS),
+                Math.min(sockets, WARM_UP_SOCKETS),
                 list,
                 settings,
                 connectTimeoutMs,
@@ -174,7 +178,7 @@
                 maxOpenRequests);
     }
 
-    /** Nested settings under the names that the simulator's wire gives them. */
+    /** Flattens nested settings to the dotted names that the simulator's wire protocol uses. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
@@ -201,7 +205,7 @@
         return value.asText();
     }
 
-    /** Numbers and a port: there are no names to look up. */
+    /** Parses an IP address and a port; host names are not resolved. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/deckfall/net/PeerLink.java
+++ b/src/main/java/deckfall/net/PeerLink.java
@@ -16,12 +16,12 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
-@Sharable // one channel at a time
+/** Messages between API gateways, sent as datagrams. They may be late, damaged, lost or from unknown senders. */
+@Sharable // used by one channel at a time
 final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> {
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int ALL_PEERS = -1;
-    private static final long REBIND_DELAY_MS = 100; // until the process that this one replaces lets the port go
+    private static final long REBIND_DELAY_MS = 100; // until the process that this one replaces releases the port
 
     private final Node node;
     private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
@@ -35,6 +35,7 @@
         }
     }
 
+    /** Binds the port for messages from peers, if the configuration has one. */
     void start() {
         if (node.config.peerListen() == null) {
             return;
@@ -43,7 +44,7 @@
     }
 
     private void bind() {
-        // One byte more than a message may have shows which ones are too long.
+        // A buffer of one byte more than the maximum reveals messages that are too long.
         channel = new Bootstrap()
                 .group(node.loop)
                 .channel(NioDatagramChannel.class)
@@ -52,7 +53,7 @@
                 .bind(node.config.peerListen())
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        if (!failureLogged) { // one line for a spell of failures
+                        if (!failureLogged) { // one line for failures in a row
                             Node.log("no messages from peers yet: " + f.cause().getMessage());
                         }
                         failureLogged = true;
@@ -68,17 +69,18 @@
         }
     }
 
-    /** Netty closes the channel on some reads that fail for a moment. */
+    /** Binds again, as Netty closes the channel on some temporary read errors. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         scheduleBind();
     }
 
-    /** On the event loop. */
+    /** The current channel. Call on the event loop. */
     Channel channel() {
         return channel;
     }
 
+    /** Sends a message to a peer, or to all of them with number -1. Messages to an unknown peer are dropped. */
     void send(int peer, byte[] data) {
         InetSocketAddress to = peer == ALL_PEERS
                 ? node.config.peerBroadcast()
@@ -100,7 +102,7 @@
         }
     }
 
-    /** A lost message is normal, and so is an error that an earlier one brought back. */
+    /** Ignores errors: a lost message is normal, and so is an ICMP error that an earlier one caused. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
 }
--- a/src/main/java/deckfall/net/ReloadSignal.java
+++ b/src/main/java/deckfall/net/ReloadSignal.java
@@ -3,20 +3,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP from the first moment of a process on: left alone it ends the process, and one that comes during the start is
- * acted on once the start is over.
+ * Handles SIGHUP from the start of the process on. Unhandled, the signal would end the process. A signal that arrives
+ * during startup is acted on once startup is complete.
  */
 final class ReloadSignal {
-    private Runnable action; // null during the start
+    private Runnable action; // null during startup
     private boolean pending;
 
-    /** Begins to hear the signal. */
+    /** Installs the signal handler. */
     static ReloadSignal install() {
         ReloadSignal signal = new ReloadSignal();
         registerHandler(signal::onSignal);
         return signal;
     }
 
+    /** Handles one signal: reloads, or marks it as pending during startup. */
     synchronized void onSignal() {
         if (action == null) {
             pending = true;
@@ -25,7 +26,7 @@
         }
     }
 
-    /** The start is over: {@code reload} is called for each signal from here on, and at once for one before. */
+    /** Ends the startup phase: {@code reload} is called for each signal from here on, and at once if one is pending. */
     synchronized void setAction(Runnable reload) {
         action = reload;
         if (pending) {
@@ -33,7 +34,10 @@
         }
     }
 
-    /** Only the unsupported {@code sun.misc.Signal} hears signals; it is found by name, as the compiler warns of it. */
+    /**
+     * Registers a handler with the unsupported {@code sun.misc.Signal}, the only API for signals. It is loaded by name,
+     * as the compiler warns of its use.
+     */
     private static void registerHandler(Runnable action) {
         try {
             Class<?> signalClass = Class.forName("sun.misc.Signal");
@@ -41,7 +45,7 @@
             Object handlerProxy = Proxy.newProxyInstance(
                     handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (proxy, method, args) -> {
                         if (!method.getName().equals("handle")) {
-                            return method.invoke(action, args); // what every object has
+                            return method.invoke(action, args); // a method of Object
                         }
                         action.run();
                         return null;
@@ -50,7 +54,7 @@
                     .getMethod("handle", signalClass, handlerClass)
                     .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handlerProxy);
         } catch (ReflectiveOperationException e) {
-            Node.log("SIGHUP is not heard: " + e);
+            Node.log("SIGHUP is not handled: " + e);
         }
     }
 }
