--- a/src/main/java/deckfall/net/Clock.java
+++ b/src/main/java/deckfall/net/Clock.java
@@ -1,6 +1,9 @@
 package deckfall.net;
 
-/** The one clock: Unix milliseconds that only advance, so that they compare with a host's start. */
+/**
+ * The clock of a node: Unix time in milliseconds that never goes back, so that it can be compared with the start times
+ * of hosts.
+ */
 class Clock {
     private static final double NANOS_PER_MS = 1e6;
 
--- a/src/main/java/deckfall/net/SiblingFiles.java
+++ b/src/main/java/deckfall/net/SiblingFiles.java
@@ -13,17 +13,21 @@
 import java.util.Map;
 
 /**
- * What the processes of one gateway know of each other while one replaces the other: each keeps a file in their
- * common folder. What is old, damaged or half there is passed over, as its writer may be gone.
+ * The status files through which the processes of one gateway know of each other while one replaces another: each
+ * process keeps a file in their common folder. Files that are old, damaged or incomplete are skipped, as their writer
+ * may have ended.
  */
 final class SiblingFiles {
     static final long HEARTBEAT_MS = 400;
-    private static final double FRESH_WINDOW_MS = 1500; // a process short of its share of a core writes late
-    private static final double MAX_SILENCE_MS = 30_000; // the longest that a process which lives may write nothing
+    private static final double FRESH_WINDOW_MS = 1500; // a process that gets little CPU time writes late
+    private static final double MAX_SILENCE_MS = 30_000; // how long a live process may write nothing
     private static final String PREFIX = "gateway-";
     private static final String SUFFIX = ".json";
 
-    /** A process and its connections as its file tells, at a time of the machine's clock; {@code memory} is empty while nobody is to take over. */
+    /**
+     * The status of a process and its connections at a time of the machine's monotonic clock; {@code memory}, the state
+     * of its customers, is empty unless a sibling is starting.
+     */
     record Status(long pid, double atMs, boolean serving, int clients, int hosts, List<CustomerSnapshot> memory) {}
 
     private final Path folder;
@@ -36,19 +40,19 @@
         this.pid = pid;
     }
 
-    /** Replaces this process's file at once, so that a reader finds it whole. */
+    /** Replaces the file of this process atomically, so that readers never see a partial file. */
     void write(Status status) throws IOException {
         Path partFile = folder.resolve(PREFIX + pid + ".part");
         Files.write(partFile, json.writeValueAsBytes(status));
         Files.move(partFile, file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The other processes that are there now, by files that were read just now or, where that fails, before. */
+    /** The other processes that are present now. A file that cannot be read counts with its last contents. */
     List<Status> presentSiblings(double now) {
         try {
             readAll();
         } catch (IOException | RuntimeException e) {
-            Node.log("no word of other processes: " + e);
+            Node.log("files of sibling processes not read: " + e);
         }
         return lastRead.values().stream()
                 .filter(status -> isPresent(status, now))
@@ -70,7 +74,9 @@
         lastRead = statuses;
     }
 
-    /** A process that lives and has not told of itself for a while may have a full disk. */
+    /**
+     * Whether the writer of a status is present. A live process that has not written for a while may have a full disk.
+     */
     private static boolean isPresent(Status status, double now) {
         double age = Math.abs(now - status.atMs());
         return age < FRESH_WINDOW_MS
@@ -85,15 +91,17 @@
             Status status = json.readValue(file.toFile(), Status.class);
             return status == null || status.memory() == null ? null : status;
         } catch (IOException e) {
-            return Files.exists(file) ? lastRead.get(file) : null; // damaged or unreadable, else gone meanwhile
+            // damaged or unreadable if it exists, else deleted meanwhile
+            return Files.exists(file) ? lastRead.get(file) : null;
         }
     }
 
+    /** Deletes the file of this process. */
     void remove() {
         try {
             Files.deleteIfExists(file());
         } catch (IOException e) {
-            Node.log("left behind: " + e.getMessage()); // it grows old by itself
+            Node.log("own sibling file not deleted: " + e.getMessage()); // it expires by its age
         }
     }
 
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -10,20 +10,21 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Tells the other processes of this gateway of this one, and learns of them, while one replaces the other. It has a
- * thread of its own, as files may be slow, and goes on whatever the folder's file system answers. Times in the files
- * are of the machine's monotonic clock, which all its processes share and no step of the wall clock moves.
+ * Publishes the status of this process to the other processes of the gateway and reads theirs, while one process
+ * replaces another. It runs on a thread of its own, as file access may be slow, and continues after any file system
+ * error. Times in the files are of the machine's monotonic clock, which all of its processes share and which is not
+ * affected by changes of the wall clock.
  */
 final class SiblingWatch {
-    static final long SNAPSHOT_TIMEOUT_MS = 1000; // that the event loop may take to hand its memory over
+    static final long SNAPSHOT_TIMEOUT_MS = 1000; // for the event loop to return its customer state
     private static final double NANOS_PER_MS = 1e6;
 
-    /** How many processes there are, how many of them serve, and the connections that they hold together. */
+    /** The number of processes, how many of them serve, and the connections they hold together. */
     record SiblingCounts(int processes, int serving, int clientConnections, int hostConnections) {
         static final SiblingCounts NONE = new SiblingCounts(0, 0, 0, 0);
     }
 
-    /** This process. */
+    /** The process that the watch publishes. */
     interface LocalProcess {
         boolean acceptsClients();
 
@@ -31,20 +32,23 @@
 
         int hostConnections();
 
-        /** What another process is to start from. */
+        /** The customer state from which a starting process begins. */
         List<CustomerSnapshot> snapshotCustomers() throws InterruptedException, ExecutionException, TimeoutException;
 
-        /** Called from the watch's thread. */
+        /** Called with the counts of the other processes, on the watch's thread. */
         void onSiblings(SiblingCounts seen);
 
-        /** What the other processes can know of this one from now on; called from the watch's thread. */
+        /**
+         * Called with the published counts of this process, which the others can read from now on, on the watch's
+         * thread.
+         */
         void onPublished(SiblingCounts own);
     }
 
     private final SiblingFiles files;
     private final Clock clock;
     private final LocalProcess localProcess;
-    private boolean failureLogged; // one line in the log for a spell of failures
+    private boolean failureLogged; // one log line for failures in a row
 
     SiblingWatch(SiblingFiles files, Clock clock, LocalProcess localProcess) {
         this.files = files;
@@ -52,10 +56,12 @@
         this.localProcess = localProcess;
     }
 
+    /** The machine's monotonic clock in milliseconds. */
     static double monotonicMs() {
         return System.nanoTime() / NANOS_PER_MS;
     }
 
+    /** Starts the thread that polls and publishes. */
     void start() {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(r -> {
             Thread t = new Thread(r, "siblings");
@@ -65,6 +71,7 @@
         executor.scheduleWithFixedDelay(this::poll, 0, SiblingFiles.HEARTBEAT_MS, TimeUnit.MILLISECONDS);
     }
 
+    /** Reads the files of the siblings once and writes the own one. Failures are logged and not thrown. */
     void poll() {
         try {
             pollAndPublish();
@@ -74,7 +81,7 @@
         } catch (IOException
                 | ExecutionException
                 | TimeoutException
-                | RuntimeException e) { // else no look would follow
+                | RuntimeException e) { // otherwise the executor would stop polling
             if (!failureLogged) {
                 Node.log("siblings: not told of this process, tried again: " + e);
             }
@@ -88,10 +95,10 @@
                 (int) siblings.stream().filter(SiblingFiles.Status::serving).count();
         int clients = siblings.stream().mapToInt(SiblingFiles.Status::clients).sum();
         int hosts = siblings.stream().mapToInt(SiblingFiles.Status::hosts).sum();
-        localProcess.onSiblings(
-                new SiblingCounts(siblings.size(), serving, clients, hosts)); // first, as the folder may be full
+        // Before the write, which fails if the disk is full.
+        localProcess.onSiblings(new SiblingCounts(siblings.size(), serving, clients, hosts));
         boolean acceptsClients = localProcess.acceptsClients();
-        boolean snapshotRequested = acceptsClients && serving < siblings.size(); // by one that starts
+        boolean snapshotRequested = acceptsClients && serving < siblings.size(); // by a sibling that is starting
         int ownClients = localProcess.clientConnections();
         int ownHosts = localProcess.hostConnections();
         files.write(new SiblingFiles.Status(
@@ -104,7 +111,7 @@
         localProcess.onPublished(new SiblingCounts(1, acceptsClients ? 1 : 0, ownClients, ownHosts));
     }
 
-    /** What a process that serves now remembers, for one that starts; empty where there is none. */
+    /** The customer state of a serving sibling, for a process that starts; empty if there is none. */
     List<CustomerSnapshot> customersOfServingSibling() {
         return files.presentSiblings(monotonicMs()).stream()
                 .filter(SiblingFiles.Status::serving)
@@ -122,9 +129,10 @@
     }
 
     private static List<CustomerSnapshot> shifted(List<CustomerSnapshot> customers, double laterMs) {
-        return customers.stream().map(r -> r.shifted(laterMs)).toList();
+        return customers.stream().map(customer -> customer.shifted(laterMs)).toList();
     }
 
+    /** Deletes the file of this process. */
     void stop() {
         files.remove();
     }
--- a/src/main/java/deckfall/net/StartupRetry.java
+++ b/src/main/java/deckfall/net/StartupRetry.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A step of the start that system calls may fail for a moment: it is tried again for a while, since a gateway that gives
- * up on the first failed call has crashed. Only for the thread that starts, which may wait.
+ * Retries startup steps whose system calls may fail temporarily, as a gateway that gave up on the first failed call
+ * would count as crashed. Only for the startup thread, which may block.
  */
 final class StartupRetry {
     private static final long RETRY_INTERVAL_MS = 50;
@@ -14,7 +14,10 @@
 
     private StartupRetry() {}
 
-    /** The step's result; after the last try its failure, as an {@link IOException} that names the step. */
+    /**
+     * Returns the result of the step. After the last retry its failure is thrown as an {@link IOException} that names
+     * the step.
+     */
     static <T> T withRetries(String name, Callable<T> step) throws IOException {
         long end = System.nanoTime() + MAX_DURATION_NANOS;
         while (true) {
@@ -23,7 +26,7 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted", e);
-            } catch (Exception e) { // netty throws what failed as it is, checked or not
+            } catch (Exception e) { // Netty rethrows the original exception, checked or unchecked
                 if (System.nanoTime() > end) {
                     throw new IOException(name + ": " + e.getMessage(), e);
                 }
--- a/src/main/java/deckfall/net/StartupTimes.java
+++ b/src/main/java/deckfall/net/StartupTimes.java
@@ -2,12 +2,12 @@
 
 import java.util.StringJoiner;
 
-/** How long each part of a start took, one behind another from the call of {@code main}: told in one line. */
+/** Measures how long each phase of startup takes, from the call of {@code main} on, for one log line. */
 final class StartupTimes {
     private final Clock clock;
     private final double startMs;
     private final StringJoiner phases = new StringJoiner(", ");
-    private double phaseStartMs; // when the present part began
+    private double phaseStartMs; // when the current phase began
 
     StartupTimes(Clock clock) {
         this.clock = clock;
@@ -15,7 +15,7 @@
         this.phaseStartMs = startMs;
     }
 
-    /** The part that has just ended. */
+    /** Records that a phase has just ended; the next one starts now. */
     void phaseEnded(String phase) {
         double now = clock.now();
         phases.add(phase + ' ' + Math.round(now - phaseStartMs));
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -18,15 +18,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One short life of a node that is its own host, peer and discovery, so that each part runs. The build keeps the
- * classes that it loads in an archive, from which a restarted node starts in half the time; a node goes through it
- * once more before it serves, so that its first clients find the code compiled.
+ * A short run of a node that is its own host, peer and discovery, so that the code of each part is executed. The build
+ * runs it ({@code deckfall rehearse}) to store the classes it loads in a class data sharing archive, with which a
+ * restarted node starts in half the time. A node runs it again before it serves, so that its first clients find
+ * compiled code.
  */
 public final class WarmUp {
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
-    private static final int MAX_REQUESTS = 400; // most methods on a request's way are compiled by then
-    private static final long MAX_DURATION_MS = 3000; // and no longer
-    private static final int MAX_HEAD_BYTES = 512; // bytes that hold an answer's head
+    private static final int MAX_REQUESTS = 400; // by then most methods that handle a request are compiled
+    private static final long MAX_DURATION_MS = 3000; // time limit of a warm-up
+    private static final int MAX_HEAD_BYTES = 512; // enough for the head of a response
     private static final String CONFIG_TEMPLATE = """
             {"name": "rehearsal", "listen": "%1$s", "discovery": "%1$s", "seed": "1", "peer_listen": "%1$s",
              "peers": ["%1$s", "%1$s"], "known": {"version": 1, "full": true, "servers": [{"id": "self",
@@ -47,7 +48,7 @@
 
     private WarmUp() {}
 
-    /** For the build: returns when all has been gone through. */
+    /** Runs a warm-up for the build. Returns when it is complete. */
     public static void run() throws IOException {
         Node.configureLogging();
         InetSocketAddress at = freePort(InetAddress.getLoopbackAddress());
@@ -56,7 +57,10 @@
         exchangeSiblingFiles();
     }
 
-    /** So that the archive holds what a process needs that starts beside another. */
+    /**
+     * Writes and reads sibling files, so that the archive contains the classes that a process needs if it starts beside
+     * another one.
+     */
     private static void exchangeSiblingFiles() throws IOException {
         Path folder = Files.createTempDirectory("rehearsal");
         SiblingFiles one = new SiblingFiles(folder, 1);
@@ -68,10 +72,12 @@
     }
 
     /**
-     * Before a node serves: its first requests would otherwise run in the interpreter and compete with the compiler
-     * for a part of one core. It has a port of its own: at the gateway's a client could come in, whose request would
-     * be lost with the rehearsal's end, and where the listener is shared another process may answer. A gateway that
-     * is missed meanwhile does not rehearse: each second of it costs more requests than its code runs slowly for.
+     * Warms up a node before it serves, and returns how many requests were answered. Otherwise its first requests run
+     * in the interpreter and compete with the compiler for a fraction of one core.
+     *
+     * <p>The warm-up has a port of its own. At the gateway's port a client could connect, whose request would be lost
+     * when the warm-up ends, and if the listener is shared, another process may answer. A gateway with clients waiting
+     * skips the warm-up: each second of it costs more requests than the slower code does.
      */
     static int warmUp(NodeConfig config, boolean clientsWaiting) {
         return clientsWaiting ? 0 : warmUp(config);
@@ -82,7 +88,7 @@
             NodeConfig selfHosted = config.forWarmUp(freePort(config.listen().getAddress()));
             return sendRequests(selfHosted, MAX_DURATION_MS);
         } catch (IOException | RuntimeException e) {
-            Node.log("not warmed up: " + e.getMessage()); // slower at first, but it serves
+            Node.log("warm-up failed: " + e.getMessage()); // the node serves anyway, only slower at first
             return 0;
         }
     }
@@ -93,7 +99,7 @@
         }
     }
 
-    /** How many requests were answered. */
+    /** Sends requests to a node of its own; returns how many were answered. */
     private static int sendRequests(NodeConfig config, long maxDurationMs) throws IOException {
         int answered = 0;
         Node node = new Node(config);
@@ -110,12 +116,12 @@
                 }
             }
         } finally {
-            node.stop(); // or a build would never end
+            node.stop(); // otherwise the build would never end
         }
         return answered;
     }
 
-    /** Each class and plan in turn, by customers of which some ask for more than their quota. */
+    /** The request number {@code i}: classes and plans take turns, and some customers exceed their quota. */
     private static String request(Settings settings, int i) {
         RequestClass requestClass =
                 settings.classes().get(i % settings.classes().size());
@@ -138,7 +144,10 @@
         return plans.isEmpty() ? "none" : plans.get(i % plans.size()).name();
     }
 
-    /** Every answer to a rehearsal is a head alone: its host is the node itself, which refuses what it is sent. */
+    /**
+     * Sends a request and reads the head of its response. No response has a body, as the only host is the node itself,
+     * which refuses the requests it receives.
+     */
     private static void sendRequest(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         byte[] head = new byte[MAX_HEAD_BYTES];
@@ -147,7 +156,7 @@
             int read =
                     length < MAX_HEAD_BYTES ? socket.getInputStream().read(head, length, MAX_HEAD_BYTES - length) : -1;
             if (read < 0) {
-                throw new IOException("no answer to a rehearsal");
+                throw new IOException("no response to a warm-up request");
             }
             length += read;
         }
