--- a/src/test/java/deckfall/net/BackoffTest.java
+++ b/src/test/java/deckfall/net/BackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** How a fleet comes back to a service that has turned it away. */
+/** Tests how gateways retry after failures. */
 class BackoffTest {
     private static final int GATEWAYS = 48;
 
--- a/src/test/java/deckfall/net/CallTimingTest.java
+++ b/src/test/java/deckfall/net/CallTimingTest.java
@@ -6,13 +6,12 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** When a change is heard of behind calls that failed, on a clock of the test's own. */
+/** Tests when a change arrives after failed calls, in simulated time. */
 class CallTimingTest {
-    private static final long DEADLINE_MS = 6000; // from when discovery had it and could be reached
+    private static final long DEADLINE_MS = 6000; // from when discovery had the change and could be reached
     private static final long MARGIN_MS = 1000;
-    private static final long SUCCESSFUL_CALL_MS =
-            400; // what the connect and the call that tell may take on a busy core
-    private static final long IMMEDIATE_FAILURE_MS = 50; // a call's end that is no silence
+    private static final long SUCCESSFUL_CALL_MS = 400; // what the successful connect and call may take on a busy core
+    private static final long IMMEDIATE_FAILURE_MS = 50; // a failure that is reported at once, without a timeout
     private static final long MAX_OUTAGE_MS = 12_000;
     private static final long STEP_MS = 10;
     private static final int SEEDS = 5;
@@ -33,10 +32,13 @@
         };
     }
 
-    /** From the end of a spell in which each call that begins fails, and one further call that fails, to the news. */
+    /**
+     * The time from the end of an outage to the change, where each call that starts during the outage fails, and one
+     * further call after it.
+     */
     private static long changeArrivesAfterMs(long outageMs, Failure outage, Failure further, long seed) {
         CallTiming timing = new CallTiming(new Random(seed));
-        timing.onSuccess(); // the watch has been opened as the spell begins
+        timing.onSuccess(); // the watch is open when the outage begins
         long now = 0;
         for (boolean over = false; !over; ) {
             over = now >= outageMs;
@@ -62,7 +64,10 @@
         }
     }
 
-    /** A slow discovery is given more time in a while than one that was silent once, or it would never be heard. */
+    /**
+     * Some calls of an outage have a longer timeout than a first failure, or calls to a slow discovery would never
+     * succeed.
+     */
     @Test
     void repeatedFailuresLengthenSomeTimeouts() {
         CallTiming timing = new CallTiming(new Random(1));
--- a/src/test/java/deckfall/net/ConfigReloaderTest.java
+++ b/src/test/java/deckfall/net/ConfigReloaderTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A configuration that is replaced while its file can't always be read. */
+/** Tests the reload of a configuration whose file is temporarily unreadable. */
 class ConfigReloaderTest {
     @TempDir
     private Path folder;
 
     private final BlockingQueue<NodeConfig> changed = new LinkedBlockingQueue<>();
 
-    /** After a read that failed for the moment the gateway stayed at its old discovery until the next signal. */
+    /** After a temporary read error the gateway once stayed with its old discovery until the next signal. */
     @Test
     void temporarilyUnreadableFileIsReadAgain() throws Exception {
         Path file = Files.createDirectory(folder.resolve("config.json")); // a read fails with EISDIR
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a node asks of discovery, and what it makes of the answers. */
+/** Tests the calls of a node to discovery and how it applies the lists it receives. */
 class DiscoveryTest {
-    private static final String DRAINED = "draining";
+    private static final String DRAINING = "draining";
     private final Deque<Closeable> closeables = new ArrayDeque<>();
-    private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() throws IOException {
@@ -44,10 +44,10 @@
         s.getOutputStream().write(okResponse(m.header("X-Trace-Id")));
     }
 
-    /** Answers each call with the next of the answers; one that is empty ends the connection. */
+    /** Answers each call with the next of {@code responses}; an empty one closes the connection. */
     private Server discovery() throws IOException {
         return closeLater(new Server((m, s) -> {
-            String body = answers.take();
+            String body = responses.take();
             if (body.isEmpty()) {
                 s.close();
             } else {
@@ -75,14 +75,14 @@
         return discovery.nextRequest().start();
     }
 
-    /** Many that start at once would queue for as many whole lists, and none would hear of a change meanwhile. */
+    /** If many gateways started at once with full lists, their calls would queue up and changes would arrive late. */
     @Test
     void startupRequestsChangesSinceTheKnownList() throws Exception {
         Server old = closeLater(new Server(DiscoveryTest::answerOk));
         Server fresh = closeLater(new Server(DiscoveryTest::answerOk));
         Server discovery = discovery();
-        answers.add(
-                hostList(9, false, hostEntry("a", old.address(), DRAINED), hostEntry("b", fresh.address(), "ready")));
+        responses.add(
+                hostList(9, false, hostEntry("a", old.address(), DRAINING), hostEntry("b", fresh.address(), "ready")));
         Node node = node(discovery, hostList(7, true, hostEntry("a", old.address(), "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", nextRequestLine(discovery));
         assertEquals("GET /v1/servers?from=9&hold_ms=" + CallTiming.HOLD_MS + " HTTP/1.1", nextRequestLine(discovery));
@@ -94,18 +94,18 @@
     @Test
     void fullListIsRequestedWhenNoHostIsKnown() throws Exception {
         Server discovery = discovery();
-        answers.add(hostList(3, true));
+        responses.add(hostList(3, true));
         node(discovery, hostList(3, true));
         assertEquals("GET /v1/servers HTTP/1.1", nextRequestLine(discovery));
     }
 
-    /** As after a discovery that lost its state: what changed since its own versions says nothing of ours. */
+    /** As if discovery had lost its state: changes since its own version numbers do not apply to the known list. */
     @Test
     void changesOfAnOlderVersionLeadToAFullList() throws Exception {
         Server host = closeLater(new Server(DiscoveryTest::answerOk));
         Server discovery = discovery();
-        answers.add(hostList(2, false, hostEntry("a", host.address(), "gone")));
-        answers.add(hostList(2, true, hostEntry("a", host.address(), "ready")));
+        responses.add(hostList(2, false, hostEntry("a", host.address(), "gone")));
+        responses.add(hostList(2, true, hostEntry("a", host.address(), "ready")));
         Node node = node(discovery, hostList(7, true, hostEntry("a", host.address(), "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", nextRequestLine(discovery));
         assertEquals("GET /v1/servers HTTP/1.1", nextRequestLine(discovery));
@@ -117,17 +117,18 @@
     void malformedListIsIgnored() throws Exception {
         Server host = closeLater(new Server(DiscoveryTest::answerOk));
         Server discovery = discovery();
-        answers.add("{\"servers\":[" + hostEntry("a", host.address(), DRAINED) + "]}");
-        answers.add(hostList(9, false, hostEntry("a", host.address(), DRAINED), hostEntry("b", host.address(), "odd")));
-        answers.add("[]");
-        answers.add("{\"version\":8,\"full\":true}");
-        answers.add("{\"version\":8,\"full\":true,\"servers\":{}}");
-        answers.add("{\"version\":8,\"servers\":[]}");
-        answers.add(hostList(8, true, hostEntry("", host.address(), DRAINED)));
-        answers.add(
-                hostList(8, true, hostEntry("a", host.address(), "ready"), hostEntry("a", host.address(), DRAINED)));
-        answers.add("");
-        answers.add(hostList(7, false));
+        responses.add("{\"servers\":[" + hostEntry("a", host.address(), DRAINING) + "]}");
+        responses.add(
+                hostList(9, false, hostEntry("a", host.address(), DRAINING), hostEntry("b", host.address(), "odd")));
+        responses.add("[]");
+        responses.add("{\"version\":8,\"full\":true}");
+        responses.add("{\"version\":8,\"full\":true,\"servers\":{}}");
+        responses.add("{\"version\":8,\"servers\":[]}");
+        responses.add(hostList(8, true, hostEntry("", host.address(), DRAINING)));
+        responses.add(
+                hostList(8, true, hostEntry("a", host.address(), "ready"), hostEntry("a", host.address(), DRAINING)));
+        responses.add("");
+        responses.add(hostList(7, false));
         Node node = node(discovery, hostList(7, true, hostEntry("a", host.address(), "ready")));
         for (int i = 0; i < 10; i++) {
             assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", nextRequestLine(discovery));
@@ -135,7 +136,7 @@
         assertEquals(200, status(node, "one"));
     }
 
-    /** As of an agent that has fallen behind: what was told stays told for that life of a host. */
+    /** As from a discovery agent that lags behind: a drain or removal stays in force until the host restarts. */
     @Test
     void olderListDoesNotRevertADrain() throws Exception {
         Server drains = closeLater(new Server(DiscoveryTest::answerOk));
@@ -147,18 +148,19 @@
             hostEntry("b", gone.address(), "ready"),
             hostEntry("c", ready.address(), "ready")
         };
-        answers.add(hostList(
+        responses.add(hostList(
                 9,
                 false,
-                hostEntry("a", drains.address(), DRAINED),
+                hostEntry("a", drains.address(), DRAINING),
                 hostEntry("b", gone.address(), "gone"),
                 hostEntry("d", gone.address(), "ready")));
-        answers.add(hostList(10, true, old[2], hostEntry("a", drains.address(), DRAINED)));
-        answers.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", gone.address(), "ready")));
-        answers.add(hostList(8, false));
+        responses.add(hostList(10, true, old[2], hostEntry("a", drains.address(), DRAINING)));
+        responses.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", gone.address(), "ready")));
+        responses.add(hostList(8, false));
         Node node = node(discovery, hostList(7, true, old));
         for (int i = 0; i < 5; i++) {
-            nextRequestLine(discovery); // the last call is made before its answer is told, so:
+            // a call is sent before the response to the previous one is applied, so wait for the loop
+            nextRequestLine(discovery);
         }
         node.loop.submit(() -> {}).sync();
         for (int i = 0; i < 20; i++) {
@@ -171,8 +173,8 @@
     void olderListStillReportsARestartedHost() throws Exception {
         Server host = closeLater(new Server(DiscoveryTest::answerOk));
         Server discovery = discovery();
-        answers.add(hostList(9, true, hostEntry("a", host.address(), DRAINED)));
-        answers.add(hostList(
+        responses.add(hostList(9, true, hostEntry("a", host.address(), DRAINING)));
+        responses.add(hostList(
                 2, true, hostEntry("a", host.address(), "ready").replace("\"started_ms\":0", "\"started_ms\":5")));
         Node node = node(discovery, hostList(3, true));
         for (int i = 0; i < 3; i++) {
@@ -182,33 +184,35 @@
         assertEquals(200, status(node, "v"));
     }
 
-    /** A call that waits would be as long silent as the one before: what was missed is asked for first. */
+    /**
+     * A call that holds and gets no response would be noticed as late as the failed one, so changes are fetched first.
+     */
     @Test
     void callsDoNotHoldBetweenAFailureAndTheNextSuccess() throws Exception {
         String unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-        String brokenOff = "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8,";
-        BlockingQueue<String> raw = new LinkedBlockingQueue<>();
+        String truncated = "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8,";
+        BlockingQueue<String> rawResponses = new LinkedBlockingQueue<>();
         Server discovery = closeLater(new Server((m, s) -> {
-            String text = raw.take();
+            String text = rawResponses.take();
             s.getOutputStream().write(TestEndpoints.bytes(text));
             if (!text.endsWith("}")) {
                 s.close();
             }
         }));
-        String none = new String(okResponse(hostList(7, false)), StandardCharsets.ISO_8859_1);
+        String unchanged = new String(okResponse(hostList(7, false)), StandardCharsets.ISO_8859_1);
         String caughtUp = "GET /v1/servers?from=7&hold_ms=" + CallTiming.HOLD_MS + " HTTP/1.1";
-        raw.add(none);
+        rawResponses.add(unchanged);
         node(discovery, hostList(7, true, hostEntry("a", "127.0.0.1:1", "ready")));
         assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", nextRequestLine(discovery));
-        for (String failed : new String[] {"", unavailable, brokenOff}) {
+        for (String failed : new String[] {"", unavailable, truncated}) {
             assertEquals(caughtUp, nextRequestLine(discovery));
-            raw.add(failed);
+            rawResponses.add(failed);
             assertEquals("GET /v1/servers?from=7&hold_ms=0 HTTP/1.1", nextRequestLine(discovery), failed);
-            raw.add(none);
+            rawResponses.add(unchanged);
         }
         assertEquals(caughtUp, nextRequestLine(discovery));
-        raw.add(none.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-        assertEquals(caughtUp, nextRequestLine(discovery)); // the watch goes on
+        rawResponses.add(unchanged.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+        assertEquals(caughtUp, nextRequestLine(discovery)); // the watch continues
     }
 
     @Test
--- a/src/test/java/deckfall/net/FailureStreakTest.java
+++ b/src/test/java/deckfall/net/FailureStreakTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which failed calls count as one spell. */
+/** Tests which failed calls count as one streak. */
 class FailureStreakTest {
     private long nanos;
     private final FailureStreak streak = new FailureStreak(() -> nanos);
@@ -27,7 +27,9 @@
         assertEquals(0, streak.recordSuccess());
     }
 
-    /** A read that failed with nothing to read made the client's next request, seconds later, overdue by as much. */
+    /**
+     * A read that failed with no data pending once made the client's next request, seconds later, overdue by that time.
+     */
     @Test
     void oldFailureStartsNoStreak() {
         streak.recordFailure();
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -12,16 +12,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The datagrams between gateways while system calls fail. */
+/** Tests the messages between gateways when system calls fail. */
 class PeerLinkTest {
     private static final int MAX_SENDS = 300;
     private static final int MESSAGE_BYTES = 7;
 
     private final BlockingQueue<Integer> receivedSizes = new LinkedBlockingQueue<>();
 
-    private Node node(DiscoveryServer registry, int port, DatagramSocket peer) throws Exception {
+    private Node node(DiscoveryServer discovery, int port, DatagramSocket peer) throws Exception {
         String config = TestEndpoints.config(
-                registry.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
+                discovery.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
         return TestEndpoints.node(config, act -> new ScriptedModule((now, r) -> {}) {
             @Override
             public void peerMessageReceived(double now, int from, byte[] data) {
@@ -36,17 +36,17 @@
         }
     }
 
-    /** A read that failed for a moment closed the channel, and no peer was heard again. */
+    /** A temporary read error once closed the channel, and no further message from peers was received. */
     @Test
     void messagesArriveAfterTheChannelWasClosed() throws Exception {
         int port = freePort();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
-            Node node = node(registry, port, peer);
+                DiscoveryServer discovery = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
+            Node node = node(discovery, port, peer);
             node.loop.submit(() -> node.peerLink().channel().close()).sync();
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             Integer size = null;
-            for (int i = 0; i < MAX_SENDS && size == null; i++) { // what comes to a closed port is lost
+            for (int i = 0; i < MAX_SENDS && size == null; i++) { // datagrams to a closed port are lost
                 peer.send(new DatagramPacket(new byte[MESSAGE_BYTES], MESSAGE_BYTES, to));
                 size = receivedSizes.poll(100, TimeUnit.MILLISECONDS);
             }
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as the platform starts and ends it. */
+/** Tests the program as a process: startup, signals, handover to a replacement process, and exit. */
 class ProcessTest {
     private static final int DESCRIPTORS = 100;
 
@@ -44,7 +44,7 @@
 
     private void start(String config) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
                 "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"",
@@ -55,8 +55,8 @@
                 System.getProperty("java.class.path"),
                 "deckfall.Main",
                 "serve");
-        b.environment().put("NODE_CONFIG", file.toString());
-        process = b.redirectOutput(ProcessBuilder.Redirect.DISCARD)
+        builder.environment().put("NODE_CONFIG", file.toString());
+        process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(dir.resolve("log").toFile())
                 .start();
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** The event loop once died of this: the warning that no descriptor was left itself needed one. */
+    /** The warning that no descriptor was left itself needed a descriptor, which once ended the event loop. */
     @Test
     void processSurvivesRunningOutOfDescriptors() throws Exception {
         startServing();
@@ -118,7 +118,7 @@
         awaitReady();
     }
 
-    /** Netty tells of a connect without a descriptor on a thread of its own, on which the module must not run. */
+    /** Netty reports a connect without a descriptor on a thread of its own, where the decision module must not run. */
     @Test
     void connectWithoutDescriptorIsAFailedAttempt() throws Exception {
         try (ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -135,7 +135,8 @@
                 client.getOutputStream()
                         .write(TestEndpoints.bytes(TestEndpoints.viewRequest("v", TestEndpoints.TIMEOUT_MS / 2)));
                 int status = TestEndpoints.readMessage(client.getInputStream()).status();
-                assertTrue(status == 429 || status == 502, Integer.toString(status)); // 504 comes with the time's end
+                // 504 would be the status at the deadline
+                assertTrue(status == 429 || status == 502, Integer.toString(status));
             }
             for (Socket s : connections) {
                 s.close();
@@ -182,30 +183,30 @@
         try (DiscoveryServer first = new DiscoveryServer(TestEndpoints.hostList(1, true));
                 DiscoveryServer second = new DiscoveryServer(TestEndpoints.hostList(7, true))) {
             startServing(first.server.address());
-            awaitLog("rehearsed"); // only after this line is the signal heard
+            awaitLog("rehearsed"); // the signal is acted on only after this line
             Files.writeString(dir.resolve("config.json"), "half a conf");
             sendSighup();
             awaitLog("left as it was");
             Files.writeString(dir.resolve("config.json"), config(second.server.address()));
             sendSighup();
-            Message whole = second.server.nextRequest();
-            assertEquals("GET /v1/servers HTTP/1.1", whole.start());
+            Message fullListRequest = second.server.nextRequest();
+            assertEquals("GET /v1/servers HTTP/1.1", fullListRequest.start());
             assertTrue(second.server.nextRequest().start().contains("from=7&"));
             awaitReady();
         }
     }
 
-    /** A signal that came during the warm-up ended the process, or was not acted on. */
+    /** A SIGHUP during the warm-up once ended the process, or was ignored. */
     @Test
     void sighupDuringStartupIsHandledAfterStartup() throws Exception {
-        try (DiscoveryServer registry = new DiscoveryServer(TestEndpoints.hostList(1, true));
+        try (DiscoveryServer discovery = new DiscoveryServer(TestEndpoints.hostList(1, true));
                 ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket operator = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
             int operatorPort = operator.getLocalPort();
             free.close();
             operator.close();
-            start(config(registry.server.address())
+            start(config(discovery.server.address())
                     .replace("{\"name\"", "{\"operator\": \"127.0.0.1:" + operatorPort + "\", \"name\""));
             awaitOpen(operatorPort);
             sendSighup();
@@ -214,10 +215,10 @@
         }
     }
 
-    private void awaitOpen(int at) throws Exception {
+    private void awaitOpen(int atPort) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (true) {
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), at)) {
+            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), atPort)) {
                 return;
             } catch (IOException e) {
                 assertTrue(process.isAlive() && System.nanoTime() < end, "not open");
@@ -234,13 +235,13 @@
     }
 
     /**
-     * One listener held by another program and handed to two processes in turn: both rehearse and serve, and the end
-     * of the first costs neither a connection nor its own last line on standard error.
+     * A supervisor holds one listener and hands it to two processes in turn. Both warm up and serve. The end of the
+     * first loses neither a connection nor its own last log line.
      */
     @Test
     void replacementProcessServesOnTheInheritedListener() throws Exception {
         Path config = Files.writeString(dir.resolve("config.json"), TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0"));
-        ProcessBuilder built = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                         "perl",
                         "-e",
                         SUPERVISOR,
@@ -251,8 +252,8 @@
                         "deckfall.Main",
                         "serve")
                 .redirectError(dir.resolve("log").toFile());
-        built.environment().put("TMPDIR", dir.toString());
-        Process supervisor = built.start();
+        builder.environment().put("TMPDIR", dir.toString());
+        Process supervisor = builder.start();
         try (BufferedReader replies = supervisor.inputReader()) {
             port = Integer.parseInt(replies.readLine());
             process = supervisor;
@@ -265,7 +266,7 @@
             awaitLines("processes serving as this gateway: 2", 2);
             signal("TERM", first);
             while (ProcessHandle.of(first).map(ProcessHandle::isAlive).orElse(false)) {
-                ready(); // whichever answers
+                ready(); // either process may answer
             }
             awaitLines("ended, all answered", 1);
             awaitLines("processes serving as this gateway: 1", 1);
@@ -277,7 +278,10 @@
         }
     }
 
-    /** Holds a listener; for each line, a configuration's name, starts the program on it as descriptor 0. */
+    /**
+     * Holds a listener. For each input line, the name of a configuration file, it starts the program with the listener
+     * as descriptor 0.
+     */
     private static final String SUPERVISOR = """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(L, PF_INET, SOCK_STREAM, 0) && bind(L, sockaddr_in(0, INADDR_LOOPBACK)) && listen(L, 64) or die;
--- a/src/test/java/deckfall/net/SiblingFilesTest.java
+++ b/src/test/java/deckfall/net/SiblingFilesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What one process learns of another by their files. */
+/** Tests what a process reads from the status files of its siblings. */
 class SiblingFilesTest {
     private static final double NOW = 1e12;
     private static final List<CustomerSnapshot> CUSTOMERS =
@@ -27,7 +27,7 @@
         two.write(new Status(2, NOW, false, 0, 0, List.of()));
         assertEquals(List.of(new Status(1, NOW, true, 5, 6, CUSTOMERS)), two.presentSiblings(NOW + 1000));
         assertEquals(List.of(new Status(2, NOW, false, 0, 0, List.of())), one.presentSiblings(NOW));
-        one.write(new Status(1, NOW + 200, false, 0, 0, List.of())); // replaced whole
+        one.write(new Status(1, NOW + 200, false, 0, 0, List.of())); // replaces the whole file
         assertEquals(List.of(new Status(1, NOW + 200, false, 0, 0, List.of())), two.presentSiblings(NOW + 200));
         one.remove();
         assertEquals(List.of(), two.presentSiblings(NOW + 200));
@@ -49,7 +49,7 @@
         assertEquals(List.of(), new SiblingFiles(folder.resolve("none"), 2).presentSiblings(NOW));
     }
 
-    /** A process whose disk was full for a while was taken for gone, and the other one's limits for its own alone. */
+    /** A process whose disk was full for a while was once treated as gone, so its sibling used all limits alone. */
     @Test
     void liveProcessThatCannotWriteStaysPresent() throws Exception {
         long alive = ProcessHandle.current().pid();
@@ -59,7 +59,7 @@
         assertEquals(List.of(), new SiblingFiles(folder, 2).presentSiblings(NOW + 60_000));
     }
 
-    /** The same where its file, or the folder, could not be read. */
+    /** The same once happened if its file or the folder could not be read. */
     @Test
     void unreadableFileKeepsItsLastContents() throws Exception {
         Status status = new Status(1, NOW, true, 5, 6, CUSTOMERS);
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes of one gateway tell each other, whatever their folder and the wall clock do. */
+/** Tests what two processes of one gateway learn of each other despite file errors and wall clock changes. */
 class SiblingWatchTest {
     private static final long OTHER_PID = 1;
 
@@ -22,7 +22,7 @@
     private final List<SiblingCounts> seen = new ArrayList<>();
     private boolean failing;
 
-    /** A process with a memory of one customer, of the times {@code atMs} on its own clock. */
+    /** A process with the state of one customer, with the times {@code atMs} on its own clock. */
     private SiblingWatch.LocalProcess localProcess(double atMs) {
         return new SiblingWatch.LocalProcess() {
             @Override
@@ -48,7 +48,7 @@
             @Override
             public void onSiblings(SiblingCounts all) {
                 if (failing) {
-                    throw new IllegalStateException("made up by the test");
+                    throw new IllegalStateException("thrown by the test");
                 }
                 seen.add(all);
             }
@@ -64,7 +64,7 @@
         return new SiblingFiles.Status(OTHER_PID, SiblingWatch.monotonicMs(), serving, 5, 6, List.of());
     }
 
-    /** The thread ended with the first unchecked exception, and no other process was told of this one again. */
+    /** The first unchecked exception once ended the thread, and the status of this process was not published again. */
     @Test
     void pollingContinuesAfterAFailure() throws IOException {
         SiblingWatch watch = new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0));
@@ -76,7 +76,7 @@
         assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
-    /** A folder in which nothing can be written still tells of the other process. */
+    /** The status of the other process is still read if the folder is not writable. */
     @Test
     void siblingIsSeenWhenOwnFileCannotBeWritten() throws IOException {
         new SiblingFiles(folder, OTHER_PID).write(status(true));
@@ -85,7 +85,9 @@
         assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
     }
 
-    /** After a step of the wall clock the times of the memory were off by as much, and the process was not seen. */
+    /**
+     * After a wall clock change the times of the customer state were once off by as much, and the process was not seen.
+     */
     @Test
     void wallClockStepBetweenStartsDoesNotShiftStateTimes() throws IOException {
         ManualClock before = new ManualClock();
@@ -93,12 +95,12 @@
         before.frozen = true;
         after.frozen = true;
         after.offsetMs = 3_600_000;
-        new SiblingFiles(folder, OTHER_PID).write(status(false)); // one that starts
+        new SiblingFiles(folder, OTHER_PID).write(status(false)); // a starting process
         new SiblingWatch(new SiblingFiles(folder, 2), before, localProcess(before.now() - 100)).poll();
         CustomerSnapshot received = new SiblingWatch(new SiblingFiles(folder, OTHER_PID), after, localProcess(0))
                 .customersOfServingSibling()
                 .get(0);
         double agoMs = after.now() - received.totalAt();
-        assertEquals(100, agoMs, 1000); // the clocks of the test stand while the machine's goes on
+        assertEquals(100, agoMs, 1000); // the clocks of the test are stopped while the machine's clock advances
     }
 }
--- a/src/test/java/deckfall/net/StartupTimesTest.java
+++ b/src/test/java/deckfall/net/StartupTimesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a start's line tells. */
+/** Tests the log line with the durations of the startup phases. */
 class StartupTimesTest {
     @Test
     void eachPhaseIsTimedFromTheEndOfThePreviousOne() {
--- a/src/test/java/deckfall/net/WarmUpTest.java
+++ b/src/test/java/deckfall/net/WarmUpTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a node goes through by itself before it serves. */
+/** Tests the warm-up of a node before it serves. */
 class WarmUpTest {
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
@@ -20,28 +20,30 @@
         return NodeConfig.of(new ObjectMapper().readTree(text));
     }
 
-    /** A request that no client sent must reach no host, and no client may reach a rehearsal: its address is taken. */
+    /**
+     * Warm-up requests must not reach a host, and no client may reach a warm-up: the configured address is in use here.
+     */
     @Test
     void warmUpRequestsReachNoHostAndNoDiscovery() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
-                DiscoveryServer registry = new DiscoveryServer(
+                DiscoveryServer discovery = new DiscoveryServer(
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
-            String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+            String text = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                     .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + listener.getLocalPort() + "\", \"disc");
             assertTrue(WarmUp.warmUp(config(text), false) > 0);
             assertEquals(List.of(), host.requests);
-            assertEquals(List.of(), registry.server.requests);
+            assertEquals(List.of(), discovery.server.requests);
         }
     }
 
-    /** Settings without plans hold nobody to a quota; the start once divided by their number. */
+    /** Settings without plans limit no customer; the start once divided by the number of plans. */
     @Test
     void warmUpAndServingWorkWithoutPlans() throws Exception {
         try (Server host = new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("")));
-                DiscoveryServer registry = new DiscoveryServer(
+                DiscoveryServer discovery = new DiscoveryServer(
                         TestEndpoints.hostList(1, true, TestEndpoints.hostEntry("h0", host.address(), "ready")))) {
-            String text = TestEndpoints.config(registry.server.address(), "127.0.0.1:0")
+            String text = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                     .replaceAll("(?s),\\s*\"plans\": \\[.*?\\]", "");
             assertTrue(WarmUp.warmUp(config(text), false) > 0);
             Node node = TestEndpoints.node(text);
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Its clients come to a closed port meanwhile, and many gateways may be away at once. */
+    /** Meanwhile its clients would find a closed port, and many gateways may be restarting at once. */
     @Test
     void warmUpIsSkippedWhenClientsAreWaiting() throws Exception {
         String text = TestEndpoints.config("127.0.0.1:1", "127.0.0.1:0");
