--- a/src/main/java/deckfall/scale/DiscoveryAgent.java
+++ b/src/main/java/deckfall/scale/DiscoveryAgent.java
@@ -24,14 +24,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The agent of discovery beside a real gateway: the whole list, and watches that wait for what is new. */
+/** The discovery agent beside a real gateway: serves the full list of hosts, and long polls for changes. */
 @Sharable
 final class DiscoveryAgent extends SimpleChannelInboundHandler<FullHttpRequest> implements SimulatedDiscovery.Listener {
     private static final long MAX_HOLD_MS = 60_000;
 
+    /** A long poll that waits for a change. */
     private record Watch(ChannelHandlerContext ctx) {}
 
-    private final Function<String, String> addressOf; // a server
+    private final Function<String, String> addressOf; // by server id
     private final ControlTraffic traffic;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Long, List<Host>> changesByVersion = new LinkedHashMap<>();
@@ -55,7 +56,7 @@
             }
         }
         if (watch != null) {
-            answerWatch(watch, newHosts);
+            completeWatch(watch, newHosts);
         }
     }
 
@@ -65,19 +66,19 @@
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         long fromVersion = longParameter(query, "from", -1);
         if (fromVersion < 0 || fromVersion > version) {
-            answer(ctx, true, hosts.values());
+            respond(ctx, true, hosts.values());
         } else if (fromVersion < version) {
             Map<String, Host> newHosts = new LinkedHashMap<>();
             for (long changeVersion = fromVersion + 1; changeVersion <= version; changeVersion++) {
                 changesByVersion.get(changeVersion).forEach(host -> newHosts.put(host.id(), host));
             }
-            answer(ctx, false, newHosts.values());
+            respond(ctx, false, newHosts.values());
         } else {
             Watch pendingWatch = new Watch(ctx);
             watch = pendingWatch;
             ctx.executor()
                     .schedule(
-                            () -> answerWatch(pendingWatch, List.of()),
+                            () -> completeWatch(pendingWatch, List.of()),
                             Math.min(MAX_HOLD_MS, longParameter(query, "hold_ms", 0)),
                             TimeUnit.MILLISECONDS);
         }
@@ -88,14 +89,14 @@
         return values == null ? defaultValue : Long.parseLong(values.get(0));
     }
 
-    private void answerWatch(Watch pendingWatch, List<Host> newHosts) {
+    private void completeWatch(Watch pendingWatch, List<Host> newHosts) {
         if (watch == pendingWatch) {
             watch = null;
-            answer(pendingWatch.ctx, false, newHosts);
+            respond(pendingWatch.ctx, false, newHosts);
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
+    private void respond(ChannelHandlerContext ctx, boolean full, Collection<Host> listedHosts) {
         traffic.countMessage();
         byte[] body = listAsJson(full, listedHosts).toString().getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response =
@@ -127,7 +128,7 @@
         return json;
     }
 
-    /** What a gateway is started with. */
+    /** The full list for the configuration that a gateway is started with. */
     ObjectNode knownHostsAsJson() {
         return listAsJson(true, hosts.values());
     }
