--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -210,7 +210,7 @@
     /** The number of complete requests that were read and whose response has not begun. */
     private int unansweredRequests() {
         long completeRequests = queue.stream()
-                .filter(a -> a.message() instanceof LastHttpContent)
+                .filter(queued -> queued.message() instanceof LastHttpContent)
                 .count();
         return (int) completeRequests + (openRequest != null && openRequest.message.complete() ? 1 : 0);
     }
@@ -260,7 +260,7 @@
     }
 
     private void discardQueue() {
-        queue.forEach(a -> ReferenceCountUtil.release(a.message()));
+        queue.forEach(queued -> ReferenceCountUtil.release(queued.message()));
         queue.clear();
         addQueuedBytes(-queuedBytes);
     }
@@ -453,8 +453,8 @@
         return hasSentRequest;
     }
 
-    void setOpenRequest(OpenRequest r) {
-        openRequest = r;
+    void setOpenRequest(OpenRequest request) {
+        openRequest = request;
     }
 
     /** Forwards a host's complete response. */
--- a/src/main/java/deckfall/net/Tally.java
+++ b/src/main/java/deckfall/net/Tally.java
@@ -37,8 +37,8 @@
     private final Map<DispatchRule.Verdict, Long> notSent = new EnumMap<>(DispatchRule.Verdict.class);
     private int notesInPeriod;
 
-    void add(Count what) {
-        counts.merge(what, 1L, Long::sum);
+    void add(Count event) {
+        counts.merge(event, 1L, Long::sum);
     }
 
     void addAttempt(Outcome outcome) {
@@ -64,17 +64,17 @@
     /**
      * Counts the event and logs which request it concerns, unless the period has its maximum number of notes already.
      */
-    void note(Count what, String id, String host, String reason) {
-        add(what);
+    void note(Count event, String id, String host, String reason) {
+        add(event);
         if (notesInPeriod++ < MAX_NOTES_PER_PERIOD) {
-            Node.log(what + " request " + id + " host " + host + ": " + reason);
+            Node.log(event + " request " + id + " host " + host + ": " + reason);
         }
     }
 
     /** Returns the line of the period, or null if nothing was counted, and starts the next period from zero. */
     String takeLine() {
         StringJoiner line = new StringJoiner(" ", "tally: ", "").setEmptyValue("");
-        counts.forEach((what, count) -> line.add(what + "=" + count));
+        counts.forEach((event, count) -> line.add(event + "=" + count));
         attempts.forEach((outcome, count) -> line.add("attempts_" + outcome + "=" + count));
         counterCalls.forEach((outcome, count) -> line.add("calls_" + outcome + "=" + count));
         refusals.forEach((reason, count) -> line.add("refused_" + reason + "=" + count));
