--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -68,8 +68,8 @@
     }
 
     private Node node(String... entries) throws IOException {
-        DiscoveryServer registry = closeLater(new DiscoveryServer(hostList(1, true, entries)));
-        Node node = TestEndpoints.node(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"));
+        DiscoveryServer discoveryServer = closeLater(new DiscoveryServer(hostList(1, true, entries)));
+        Node node = TestEndpoints.node(TestEndpoints.config(discoveryServer.server.address(), "127.0.0.1:0"));
         closeables.push(node::stop);
         return node;
     }
@@ -129,18 +129,20 @@
     @Test
     void unreadRequestIsAnsweredAtTheDrainsEnd() throws Exception {
         Node node = node();
-        Client known = client(node);
-        assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
+        Client servedClient = client(node);
+        assertEquals(
+                200,
+                servedClient.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop
                 .submit(() -> {
-                    known.send(viewRequest(
+                    servedClient.send(viewRequest(
                             "v", TestEndpoints.TIMEOUT_MS)); // inside a task of the loop, which can't read meanwhile
                     node.drain();
                     node.endOpenRequests();
                     return null;
                 })
                 .sync();
-        assertEquals(503, known.receive().status());
+        assertEquals(503, servedClient.receive().status());
     }
 
     /** Responses that the system had not taken yet were lost with their idle connection. */
@@ -175,8 +177,10 @@
     void queuedRequestIsRefusedAtTheDrainsEnd() throws Exception {
         Node node = node();
         Client queued = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
-        Client known = client(node);
-        assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
+        Client servedClient = client(node);
+        assertEquals(
+                200,
+                servedClient.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::endOpenRequests).sync();
         assertEquals(503, queued.receive().status());
@@ -187,13 +191,13 @@
     @Test
     void newConnectionHasTimeToSendARequestLateInADrain() throws Exception {
         Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
-        DiscoveryServer registry =
+        DiscoveryServer discoveryServer =
                 closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
         ManualClock clock = new ManualClock();
         clock.frozen = true;
         Node node = new Node(
-                NodeConfig.of(
-                        new ObjectMapper().readTree(TestEndpoints.config(registry.server.address(), "127.0.0.1:0"))),
+                NodeConfig.of(new ObjectMapper()
+                        .readTree(TestEndpoints.config(discoveryServer.server.address(), "127.0.0.1:0"))),
                 DecisionModule::new,
                 clock);
         closeables.push(node::stop);
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -465,7 +465,7 @@
     void requestsOfAmbiguousLengthReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeWithServers(host);
-        String open = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
+        String headStart = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
         for (String length : List.of(
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
                 "Transfer-Encoding: xchunked",
@@ -473,7 +473,7 @@
                 "Content-Length: 1\r\nContent-Length: 2",
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
                 "Content-Length: 1, 2")) {
-            String bad = open + length + "\r\n\r\n1\r\nb\r\n0\r\n\r\n";
+            String bad = headStart + length + "\r\n\r\n1\r\nb\r\n0\r\n\r\n";
             assertEquals(400, client(node).send(bad).receive().status(), length);
         }
         assertEquals(List.of(), host.requests);
@@ -483,18 +483,18 @@
     void allRequestFormsAreForwarded() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeWithServers(host);
-        String open = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
+        String headStart = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
         Client c = client(node);
-        String chunks = open
+        String chunks = headStart
                 + "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n";
         assertEquals("for o abcde", c.send(chunks).receive().text());
-        c.send(open + "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n");
+        c.send(headStart + "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
         assertEquals("for o xyz", c.send("xyz").receive().text());
         assertEquals(
                 417,
                 client(node)
-                        .send(open + "Content-Length: 3\r\nExpect: more\r\n\r\n")
+                        .send(headStart + "Content-Length: 3\r\nExpect: more\r\n\r\n")
                         .receive()
                         .status());
         assertEquals(
@@ -557,10 +557,11 @@
             String body = "x".repeat(length);
             AtomicInteger requestCount = new AtomicInteger();
             Server host = host((m, s) -> {
-                int time = requestCount.getAndIncrement();
-                String head = time == 0 ? "HTTP/1.1 200 OK\r\n\r\n" : "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-                s.getOutputStream().write(bytes(head + (time < 2 ? "half" : body)));
-                s.setSoLinger(time == 1, 0);
+                int requestIndex = requestCount.getAndIncrement();
+                String head =
+                        requestIndex == 0 ? "HTTP/1.1 200 OK\r\n\r\n" : "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+                s.getOutputStream().write(bytes(head + (requestIndex < 2 ? "half" : body)));
+                s.setSoLinger(requestIndex == 1, 0);
                 s.close();
             });
             Client c = client(nodeWithServers(host))
@@ -634,10 +635,13 @@
     @Test
     void clientWithoutACompleteRequestTimesOut() throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
-        Client known = client(node);
+        Client servedClient = client(node);
         assertEquals(
                 200,
-                known.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
+                servedClient
+                        .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
+                        .receive()
+                        .status());
         for (String part : List.of("", "GET /vi", "POST /order/x HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")) {
             Client c = client(node).send(part);
             assertEquals(408, c.receive().status());
@@ -645,7 +649,10 @@
         }
         assertEquals(
                 200,
-                known.send(viewRequest("w", TestEndpoints.TIMEOUT_MS)).receive().status());
+                servedClient
+                        .send(viewRequest("w", TestEndpoints.TIMEOUT_MS))
+                        .receive()
+                        .status());
     }
 
     @Test
@@ -656,21 +663,22 @@
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
         closeables.push(node::stop);
         String request = viewRequest("v", TestEndpoints.TIMEOUT_MS);
-        Client inside = client(node).send(request.substring(0, 30));
+        Client partialClient = client(node).send(request.substring(0, 30));
         List<Client> idle = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             idle.add(client(node));
             assertEquals(200, idle.get(i).send(HEALTH_REQUEST).receive().status());
         }
         assertNull(idle.get(0).receive()); // the longest idle one, though not the oldest
-        assertEquals("for v ", inside.send(request.substring(30)).receive().text());
+        assertEquals(
+                "for v ", partialClient.send(request.substring(30)).receive().text());
     }
 
     @Test
     void clientsHoldAtMostAThirdOfTheDescriptors() throws Exception {
-        CountDownLatch crowded = new CountDownLatch(1);
+        CountDownLatch releaseHost = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            crowded.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            releaseHost.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
@@ -683,7 +691,7 @@
             assertNotNull(host.nextRequest());
         }
         assertNull(client(node).receive()); // closed, as every other connection has an open request
-        crowded.countDown();
+        releaseHost.countDown();
         for (int i = 0; i < 4; i++) {
             assertEquals("for v" + i + " ", waitingClients.get(i).receive().text());
         }
@@ -697,8 +705,9 @@
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
-        SiblingFiles.Status crowded = new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
-        new SiblingFiles(folder, 1).write(crowded);
+        SiblingFiles.Status siblingStatus =
+                new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
+        new SiblingFiles(folder, 1).write(siblingStatus);
         SiblingWatch watch = node.watchSiblings(folder);
         watch.poll();
         node.loop
@@ -1125,10 +1134,10 @@
     /** Idle clients may not use up the descriptors that others need, nor may a busy connection be closed for them. */
     @Test
     void idleConnectionsAreShedBeforeDescriptorsRunOut() throws Exception {
-        CountDownLatch crowded = new CountDownLatch(1);
+        CountDownLatch releaseHost = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
-                crowded.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                releaseHost.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
@@ -1148,7 +1157,7 @@
                             .text());
         }
         assertNull(first.receive());
-        crowded.countDown();
+        releaseHost.countDown();
         assertEquals("for held ", waitingClient.receive().text());
     }
 
