--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -638,8 +638,8 @@
                                     .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         }
 
-        private void rejectResponse(String why) {
-            node.tally.note(Tally.Count.UNREADABLE, traceId(), pool.address.toString(), why);
+        private void rejectResponse(String reason) {
+            node.tally.note(Tally.Count.UNREADABLE, traceId(), pool.address.toString(), reason);
             connectionLost();
             channel.close();
         }
@@ -815,11 +815,11 @@
         List<String> names = node.config.settings().loadMetricNames();
         Map<String, Double> values = new HashMap<>();
         for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
-            int equals = part.indexOf('=');
+            int separator = part.indexOf('=');
             try {
                 values.put(
-                        part.substring(0, Math.max(0, equals)).trim(),
-                        Double.valueOf(part.substring(equals + 1).trim()));
+                        part.substring(0, Math.max(0, separator)).trim(),
+                        Double.valueOf(part.substring(separator + 1).trim()));
             } catch (NumberFormatException e) {
                 return new double[0];
             }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -442,11 +442,11 @@
      * Records the end of a client connection. Requests without a response are a defect, unless the client itself closed
      * the connection or the connection broke.
      */
-    void connectionClosed(CloseReason why, int unanswered) {
-        tally.addClose(why);
-        if (unanswered > 0 && why != CloseReason.CLIENT && why != CloseReason.BROKEN) {
+    void connectionClosed(CloseReason reason, int unanswered) {
+        tally.addClose(reason);
+        if (unanswered > 0 && reason != CloseReason.CLIENT && reason != CloseReason.BROKEN) {
             tally.add(Tally.Count.CLOSED_UNANSWERED);
-            log("defect: " + unanswered + " requests unanswered on a connection closed as " + why);
+            log("defect: " + unanswered + " requests unanswered on a connection closed as " + reason);
         }
     }
 
@@ -792,9 +792,9 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs, Refusal why) {
+    public void refuse(String id, double retryAfterMs, Refusal reason) {
         if (openRequests.containsKey(id)) {
-            tally.addRefusal(why);
+            tally.addRefusal(reason);
         }
         respond(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -71,7 +71,7 @@
         executor.scheduleWithFixedDelay(this::poll, 0, SiblingFiles.HEARTBEAT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads the files of the siblings once and writes the own one. Failures are logged and not thrown. */
+    /** Reads the files of the siblings once and writes that of this process. Failures are logged, not thrown. */
     void poll() {
         try {
             pollAndPublish();
--- a/src/test/java/deckfall/net/FailureStreakTest.java
+++ b/src/test/java/deckfall/net/FailureStreakTest.java
@@ -28,7 +28,7 @@
     }
 
     /**
-     * A read that failed with no data pending once made the client's next request, seconds later, overdue by that time.
+     * A read that failed with no data pending once made the client's next request, seconds later, overdue by as much.
      */
     @Test
     void oldFailureStartsNoStreak() {
