--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The end of a process: what SIGKILL would find open is lost, and it comes by the settings' longest deadline. */
+/**
+ * Tests the drain at the end of a process. SIGKILL follows by the longest deadline of the settings, and requests that
+ * are open then are lost.
+ */
 class DrainTest {
     private static final double KILL_DELAY_MS = 700;
     private final Deque<Closeable> closeables = new ArrayDeque<>();
@@ -75,35 +78,38 @@
         return closeLater(new Client(node));
     }
 
-    /** Held, out at a host that hangs, half read in its head or body, not begun: none of it stays open. */
+    /**
+     * Covers a request at a host that hangs, a request read up to a part of its head or body, and connections without a
+     * request.
+     */
     @Test
     void nothingStaysOpenAtTheDrainsEnd() throws Exception {
-        Server hangs = closeLater(new Server((m, s) -> {}));
-        Node node = node(hostEntry("h0", hangs.address(), "ready"));
-        Client out = client(node).send(orderRequest("out", "b"));
-        assertNotNull(hangs.nextRequest());
-        Client half = client(node).send("GET /view/x HTT");
-        Client body = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
-        Client fresh = client(node);
-        Client last = client(node); // what came before is known to have been read once this one is answered
+        Server hangingHost = closeLater(new Server((m, s) -> {}));
+        Node node = node(hostEntry("h0", hangingHost.address(), "ready"));
+        Client sent = client(node).send(orderRequest("out", "b"));
+        assertNotNull(hangingHost.nextRequest());
+        Client partialHead = client(node).send("GET /view/x HTT");
+        Client partialBody = client(node).send(orderRequest("body", "whole").replace("whole", "ha"));
+        Client unused = client(node);
+        Client last = client(node); // once this one is answered, everything sent before has been read
         assertEquals(200, last.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::endOpenRequests).sync();
-        assertEquals(502, out.receive().status());
-        assertEquals(503, body.receive().status());
-        for (Client c : new Client[] {half, fresh, last, out}) {
+        assertEquals(502, sent.receive().status());
+        assertEquals(503, partialBody.receive().status());
+        for (Client c : new Client[] {partialHead, unused, last, sent}) {
             assertNull(c.receive());
         }
-        body.close();
+        partialBody.close();
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** Requests that had been sent several at once, and read, were dropped with the first answer in a drain. */
+    /** Pipelined requests that had been read were dropped with the first response in a drain. */
     @Test
     void pipelinedRequestsAreAnsweredInADrain() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Server host = closeLater(new Server((m, s) -> {
-            assertTrue(go.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(release.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             s.getOutputStream().write(TestEndpoints.okResponse(m.header("X-Trace-Id")));
         }));
         Node node = node(hostEntry("h0", host.address(), "ready"));
@@ -111,7 +117,7 @@
         Client c = client(node).send(viewRequest("one", ms) + viewRequest("two", ms) + viewRequest("three", ms));
         assertNotNull(host.nextRequest());
         node.operatorCommands().quiesce();
-        go.countDown();
+        release.countDown();
         assertEquals("one", c.receive().text());
         assertEquals("two", c.receive().text());
         Message last = c.receive();
@@ -119,7 +125,7 @@
         assertEquals("close", last.header("Connection"));
     }
 
-    /** A request that had come, and that the loop had not read yet, was reset with its idle connection. */
+    /** A request that had arrived, but that the event loop had not read yet, was reset with its idle connection. */
     @Test
     void unreadRequestIsAnsweredAtTheDrainsEnd() throws Exception {
         Node node = node();
@@ -128,7 +134,7 @@
         node.loop
                 .submit(() -> {
                     known.send(viewRequest(
-                            "v", TestEndpoints.TIMEOUT_MS)); // in a turn of the loop, which can't read meanwhile
+                            "v", TestEndpoints.TIMEOUT_MS)); // inside a task of the loop, which can't read meanwhile
                     node.drain();
                     node.endOpenRequests();
                     return null;
@@ -137,7 +143,7 @@
         assertEquals(503, known.receive().status());
     }
 
-    /** Answers that the system had not taken yet were lost with their idle connection. */
+    /** Responses that the system had not taken yet were lost with their idle connection. */
     @Test
     void unwrittenResponsesSurviveTheDrainsEnd() throws Exception {
         int count = 150; // more than the system's buffers hold for a client that does not read
@@ -168,16 +174,16 @@
     @Test
     void queuedRequestIsRefusedAtTheDrainsEnd() throws Exception {
         Node node = node();
-        Client held = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
+        Client queued = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client known = client(node);
         assertEquals(200, known.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop.submit(node::drain).sync();
         node.loop.submit(node::endOpenRequests).sync();
-        assertEquals(503, held.receive().status());
+        assertEquals(503, queued.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** In a drain that has gone on for long, whoever comes newly still has time to ask. */
+    /** However long a drain has been going on, a new connection still has time to send a request. */
     @Test
     void newConnectionHasTimeToSendARequestLateInADrain() throws Exception {
         Server host = closeLater(new Server((m, s) -> s.getOutputStream().write(TestEndpoints.okResponse("x"))));
@@ -195,9 +201,9 @@
         Client idle = client(node);
         assertEquals(200, idle.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.operatorCommands().quiesce();
-        node.loop.submit(() -> {}).sync(); // the answer's turn has read the clock before its hand moves
+        node.loop.submit(() -> {}).sync(); // the task that wrote the response has read the clock before it is moved
         clock.offsetMs = 10_000;
-        assertNull(idle.receive()); // from here on there is a sweep every 50 ms
+        assertNull(idle.receive()); // from now on there is a sweep every 50 ms
         Client c = client(node);
         node.loop.schedule(() -> {}, 150, TimeUnit.MILLISECONDS).sync();
         assertEquals(
@@ -205,7 +211,10 @@
                 c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
-    /** The listener's end is timed next: were the sweep timed in a later turn, a slow loop would close that first. */
+    /**
+     * The close of the listener is scheduled next. If the sweep were scheduled in a later task, a slow event loop would
+     * close the listener first.
+     */
     @Test
     void firstSweepIsScheduledBeforeBeginReturns() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
