--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -33,11 +33,11 @@
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_READ_AHEAD_BYTES = 512 * 1024; // per connection; beyond this, reading is paused
     private static final int HEAD_SIZE_ESTIMATE_BYTES = 2048; // the approximate memory of a queued request head
-    // An attempt may start up to 100 ms after its client has left, and a pause hides that
+    // Below the 100 ms within which an attempt may still start after its client has left: a pause hides the close
     private static final long MAX_READ_PAUSE_MS = 80;
-    // A client that has sent no complete head by then gets a response
+    // A client that has sent no complete head, or too little of its body, by then gets a 408 response
     private static final long REQUEST_TIMEOUT_MS = 2500;
-    private static final double MIN_BODY_BYTES_PER_MS = 32; // a slower body is given up
+    private static final double MIN_BODY_BYTES_PER_MS = 32; // a slower body is then rejected
     private static final long DISCARD_TIMEOUT_MS = 2000; // how long the rest of an unwanted body is read
     // Smaller responses do not count against the memory budget
     private static final int MAX_UNCOUNTED_RESPONSE_BYTES = 4096;
@@ -145,7 +145,10 @@
         }
     }
 
-    /** Closes the connection at the end of a drain, after responses on their way. A partial request is refused. */
+    /**
+     * Closes the connection at the end of a drain, once the responses on their way have been written. A partial request
+     * is refused.
+     */
     void closeAtDrainEnd() {
         readNow();
         processQueue(); // what has been read may be a request
@@ -349,7 +352,7 @@
         }
     }
 
-    /** Responds to an Expect header before the body arrives, at least with 100 Continue. */
+    /** Responds to an Expect header before the body arrives, with a final response or with 100 Continue. */
     private void handleExpect(HttpRequest head) {
         if (!HttpUtil.is100ContinueExpected(head)) {
             respond(HttpResponseStatus.EXPECTATION_FAILED, 0);
@@ -619,7 +622,7 @@
         close(ioError ? CloseReason.BROKEN : CloseReason.DEFECT);
     }
 
-    /** Whether the length of the request is unambiguous. */
+    /** Whether the request has no transfer coding, or only a single chunked one in HTTP/1.1. */
     private static boolean hasUnambiguousLength(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Closes all connections except those with a response on its way. A client that has sent a part of a request is
+     * Closes all connections except those whose response is outstanding. A client that has sent a part of a request is
      * refused.
      */
     void closeAll() {
--- a/src/main/java/deckfall/net/ConnectionLimits.java
+++ b/src/main/java/deckfall/net/ConnectionLimits.java
@@ -3,8 +3,8 @@
 /**
  * How many connections the processes of one gateway may hold together, given their descriptors. Up to the keep-alive
  * limit, client connections stay open between requests. Above it, idle ones are shed and the others are closed with
- * their next response. A new connection, which the system has already accepted, is then still served, with a descriptor
- * that hosts leave unused.
+ * their next response, so that a new connection, which the system has already accepted, is still served with a
+ * descriptor that hosts leave unused.
  */
 final class ConnectionLimits {
     static final int DESCRIPTORS_PER_KEPT_CLIENT = 3; // one descriptor in this many may hold a kept-alive client
--- a/src/main/java/deckfall/net/IncomingRequest.java
+++ b/src/main/java/deckfall/net/IncomingRequest.java
@@ -75,7 +75,7 @@
         return streamed;
     }
 
-    /** The whole body, for another message; the caller must release it. */
+    /** The whole body, to be sent in a message of its own; the caller must release it. */
     ByteBuf retainedBody() {
         return buffered.retainedDuplicate();
     }
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -14,7 +14,7 @@
         /** Resumes or pauses reading the response. */
         void setReading(boolean reading);
 
-        /** Gives the response up, as the client needs no more of it. */
+        /** Abandons the response, as the client needs no more of it. */
         void abandon();
     }
 
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -15,7 +15,7 @@
     private static final int END_OF_STREAM = -1;
     private static final double MAX_FAILING_MS = 1000; // after this the connection counts as broken
 
-    private final boolean accepted; // from a client, which is owed a response even while it is reported unreachable
+    private final boolean accepted; // from a client, which must get a response even if it is reported unreachable
     private double readDelayMs;
     private final FailureStreak readFailures = new FailureStreak();
     private final FailureStreak writeFailures = new FailureStreak();
