--- a/src/test/java/deckfall/net/DrainTest.java
+++ b/src/test/java/deckfall/net/DrainTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the drain at the end of a process. SIGKILL follows by the longest deadline of the settings, and requests that
- * are open then are lost.
+ * Tests the drain at the end of a process. The time until SIGKILL depends on the longest deadline of the settings, and
+ * requests that are still open then are lost.
  */
 class DrainTest {
     private static final double KILL_DELAY_MS = 700;
@@ -135,8 +135,8 @@
                 servedClient.send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         node.loop
                 .submit(() -> {
-                    servedClient.send(viewRequest(
-                            "v", TestEndpoints.TIMEOUT_MS)); // inside a task of the loop, which can't read meanwhile
+                    // Inside a task of the loop, which can't read meanwhile
+                    servedClient.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
                     node.drain();
                     node.endOpenRequests();
                     return null;
--- a/src/test/java/deckfall/net/EventLoopLagTest.java
+++ b/src/test/java/deckfall/net/EventLoopLagTest.java
@@ -30,8 +30,7 @@
     }
 
     /**
-     * The remaining time that hosts were told for requests that arrived during a long iteration still included the time
-     * waited.
+     * The remaining time sent to hosts did not exclude the time for which a request had waited during a long iteration.
      */
     @Test
     void bytesMayHaveWaitedForAWholeLongIteration() throws Exception {
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -182,7 +182,7 @@
     }
 
     /**
-     * A gateway that missed the reload signal would never learn the new address of discovery, and would miss all drains
+     * A gateway that missed the reload signal would never use the new address of discovery, and would miss all drains
      * of hosts.
      */
     @Test
@@ -251,7 +251,7 @@
         assertEquals(10, host.requests.size());
     }
 
-    /** The request may have run, so the status must not tell the client that a retry is harmless. */
+    /** The request may have run, so the status must not imply that a retry is harmless. */
     @Test
     void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
@@ -381,7 +381,7 @@
                     c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
                             .receive()
                             .text());
-            TimeUnit.MILLISECONDS.sleep(300); // the idle time itself, not a wait for an event
+            TimeUnit.MILLISECONDS.sleep(300); // the idle time under test; a longer one changes nothing
         }
         assertTrue(idleNanos.size() > 0);
         for (int i = 1; i < idleNanos.size(); i++) {
@@ -791,8 +791,7 @@
     }
 
     /**
-     * The first calls of a watch whose connection breaks repeatedly: each continues from the version that the node
-     * holds.
+     * The connection of a watch breaks repeatedly. Each further call continues from the version that the node holds.
      */
     @Test
     void brokenWatchResumesFromItsVersion() throws Exception {
@@ -991,7 +990,7 @@
     }
 
     /**
-     * The meter's readings are all that the module learns of the use at other gateways; 0 means that there was none.
+     * Meter readings are the module's only source for the use at other gateways; 0 means that a response had none.
      */
     @Test
     void quotaUseOfAResponseReachesTheModule() throws Exception {
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -126,7 +126,8 @@
     }
 
     /**
-     * The first byte of a request counts: it would be sent to a draining host as soon as the connection is established.
+     * A request counts as sent with its first byte, which would go to a draining host as soon as the connection is
+     * established.
      */
     @Test
     void attemptWaitingForAConnectionMovesWhenItsHostDrains() throws Exception {
@@ -209,8 +210,8 @@
     }
 
     /**
-     * The host was told the remaining time of a pipelined request as if the client had sent it only when the request
-     * before it ended.
+     * The remaining time sent to the host was counted from the end of the request before, not from when the pipelined
+     * request was received.
      */
     @Test
     void pipelinedRequestLosesTheTimeItWaited() throws Exception {
@@ -232,7 +233,7 @@
     }
 
     /**
-     * The remaining time that a host was told still included the time for which the request had waited for a busy event
+     * The remaining time sent to the host did not exclude the time for which the request had waited for a busy event
      * loop.
      */
     @Test
@@ -260,7 +261,7 @@
         assertTrue(forwardedMs <= TestEndpoints.TIMEOUT_MS - busyMs / 2, forwardedMs + " ms");
     }
 
-    /** Such a request occupies neither the queue nor a host any more. */
+    /** A queued request whose client has left occupies neither the queue nor a host any more. */
     @Test
     void queuedRequestIsNotSentAfterItsClientLeaves() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
