--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -168,7 +168,7 @@
     }
 
     /** The id of a customer in the requests to the gateways. */
-    long gatewayId(int customer) {
+    long customerId(int customer) {
         return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
 
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -121,7 +121,7 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set(SimulatedServerHandler.TRACE_ID_HEADER, id)
                 .set("X-Plan", customers.plan(request.customer).name())
-                .set("X-Customer", String.format("%016x", customers.gatewayId(request.customer)))
+                .set("X-Customer", String.format("%016x", customers.customerId(request.customer)))
                 .set("X-Expires-In-Ms", (long) fleet.options.deadlineMs)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -139,7 +139,7 @@
         ControlTraffic traffic = new ControlTraffic();
         int zone = fleet.topology.zoneOf(number);
         Settings settings = fleet.settings(number, NetworkTopology.zoneName(zone));
-        InetSocketAddress listen = freePort();
+        InetSocketAddress listen = freeAddress();
         // Not listed in discovery: it serves the direct requests only.
         SimulatedServer directServer = callOnEventLoop(() -> fleet.addServer(zone, 0, 0));
         SimulatedServerHandler directHandler = new SimulatedServerHandler(directServer, this::requestReceived);
@@ -187,7 +187,7 @@
         return Stream.concat(Stream.of(first), Stream.of(rest)).toArray(ChannelHandler[]::new);
     }
 
-    private static InetSocketAddress freePort() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -98,10 +98,10 @@
 
     private void addCounter() {
         RunStatistics statistics = fleet.statistics;
-        put("calls", statistics.totalCalls());
-        put("calls_per_second_mean", statistics.totalCalls() / options.seconds);
+        put("calls", statistics.calls());
+        put("calls_per_second_mean", statistics.calls() / options.seconds);
         put("calls_per_second_max", statistics.perSecond.max(PerSecondTotals.Metric.CALLS));
-        put("calls_per_try", share(statistics.totalCalls(), statistics.requests));
+        put("calls_per_try", share(statistics.calls(), statistics.requests));
         put("calls_per_second_gateway_max", statistics.maxGatewayCallsInSecond());
         for (RunStatistics.CallPurpose purpose : RunStatistics.CallPurpose.values()) {
             put(
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -127,7 +127,7 @@
         return outcomes.getOrDefault(outcome, 0L);
     }
 
-    long totalCalls() {
+    long calls() {
         return callsByPurpose.values().stream().mapToLong(count -> count).sum();
     }
 
--- a/src/main/java/deckfall/scale/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -20,7 +20,7 @@
     /** The state of discovery for one gateway process. */
     private static final class Agent {
         Listener listener;
-        double nextDeliveryMs;
+        double lastDeliveryMs;
         int deliveredVersion; // number of changes delivered so far
     }
 
@@ -79,8 +79,8 @@
         }
         double delayMs =
                 HashRandom.uniform(HashRandom.mix(options.seed, changes.size()), gateway) * options.maxDiscoveryDelayMs;
-        agent.nextDeliveryMs = Math.max(agent.nextDeliveryMs, queue.now() + delayMs);
-        queue.scheduleAt(agent.nextDeliveryMs, () -> deliver(gateway, agent));
+        agent.lastDeliveryMs = Math.max(agent.lastDeliveryMs, queue.now() + delayMs);
+        queue.scheduleAt(agent.lastDeliveryMs, () -> deliver(gateway, agent));
     }
 
     private void deliver(int gateway, Agent agent) {
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -121,7 +121,7 @@
                 request.deadlineMs,
                 false,
                 settings.classes().get(request.requestClass).name(),
-                customers.gatewayId(request.customer),
+                customers.customerId(request.customer),
                 customers.plan(request.customer).name(),
                 request.units,
                 customers.first(request.customer),
@@ -238,7 +238,7 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs, Refusal why) {
+    public void refuse(String id, double retryAfterMs, Refusal reason) {
         pendingActions.add(() -> endRequest(id, RunStatistics.RequestOutcome.REFUSED, retryAfterMs));
     }
 
--- a/src/test/java/deckfall/scale/RealRunTest.java
+++ b/src/test/java/deckfall/scale/RealRunTest.java
@@ -84,9 +84,9 @@
         assertEquals(0L, run.costs().get("real_ended_in_order"));
         assertEquals(0L, run.costs().get("real_left_running"));
         long pid = Long.parseLong(Files.readString(pidFile).trim());
-        boolean left = ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
+        boolean stillAlive = ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
         ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
-        assertFalse(left);
+        assertFalse(stillAlive);
     }
 
     /** The run fails with the last line of the process's output and leaves nothing behind. */
