--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -167,7 +167,7 @@
         return plans.get(planIndexes[customer]);
     }
 
-    /** The id of a customer in the requests to the gateways. */
+    /** The id by which requests to the gateways identify a customer. */
     long customerId(int customer) {
         return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -20,7 +20,7 @@
 final class Fleet {
     private static final int MAX_ATTEMPTS = 3;
     private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final int ONCE_CLASS_INTERVAL = 3; // one class in so many must not be repeated
+    private static final int ONCE_CLASS_INTERVAL = 3; // requests of one class in this many must not be repeated
     private static final double MAX_RETRY_AFTER_MS = 500;
     private static final double ANSWER_SLACK_MS = 8;
     private static final double DRAIN_GRACE_MS = 500;
--- a/src/main/java/deckfall/scale/GatewayProcess.java
+++ b/src/main/java/deckfall/scale/GatewayProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** The process of a real gateway, started in the way the platform does. It ends with the run in any case. */
+/** The process of a real gateway, started as on the platform. It ends with the run in any case. */
 final class GatewayProcess {
     private static final long STOP_TIMEOUT_SECONDS = 5; // after SIGTERM; then the process is killed
     private static final String RESIDENT_MEMORY_KEY = "VmRSS:";
@@ -65,7 +65,10 @@
         process.destroy();
     }
 
-    /** Waits for the process to end and kills it if it does not. Returns whether it exited by itself after SIGTERM. */
+    /**
+     * Waits for the process to end and kills what is left of it and its descendants. Returns whether the process exited
+     * by itself after SIGTERM.
+     */
     boolean awaitExit() {
         boolean exitedCleanly = false;
         try {
--- a/src/main/java/deckfall/scale/RealGateway.java
+++ b/src/main/java/deckfall/scale/RealGateway.java
@@ -22,7 +22,7 @@
  * the same service time there.
  */
 final class RealGateway extends FleetGateway implements SimulatedServerHandler.RequestReceiver {
-    private static final double UNANSWERED_GRACE_MS = 500; // after the deadline, until it counts as unanswered
+    private static final double UNANSWERED_GRACE_MS = 500; // after the deadline, until a request counts as unanswered
     private static final byte[] BODY = "a body".getBytes(StandardCharsets.US_ASCII);
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
--- a/src/main/java/deckfall/scale/RealOptions.java
+++ b/src/main/java/deckfall/scale/RealOptions.java
@@ -47,7 +47,7 @@
             names = "--deploy",
             defaultValue = "deploy/balancer.toml",
             paramLabel = "FILE",
-            description = "file whose command starts a gateway, in the parent of the file's folder (${DEFAULT-VALUE})")
+            description = "file with the command to start a gateway, run in its folder's parent (${DEFAULT-VALUE})")
     Path deployFile;
 
     @Option(
--- a/src/main/java/deckfall/scale/RealTimePacer.java
+++ b/src/main/java/deckfall/scale/RealTimePacer.java
@@ -23,7 +23,7 @@
         this.queue = queue;
     }
 
-    /** Starts to follow the real time. Must be called on the event loop, as all methods but {@link #now()}. */
+    /** Starts to follow the real time. Must be called on the event loop, like all methods except {@link #now()}. */
     void start() {
         running = true;
         startMs = queue.now();
@@ -31,7 +31,7 @@
         loop.scheduleAtFixedRate(this::catchUp, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs the events that are due. To be called before a message from a socket is handled. */
+    /** Runs the events that are due. Must be called before a message from a socket is handled. */
     void catchUp() {
         if (!running) {
             return;
--- a/src/main/java/deckfall/scale/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/scale/SimulatedDiscovery.java
@@ -20,7 +20,7 @@
     /** The state of discovery for one gateway process. */
     private static final class Agent {
         Listener listener;
-        double lastDeliveryMs;
+        double lastDeliveryMs; // of the last scheduled delivery; the next one is not earlier
         int deliveredVersion; // number of changes delivered so far
     }
 
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -22,11 +22,11 @@
  * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
-    private static final int MAX_OPEN_CALLS = 256; // limit of the program's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // after which the program abandons that connection
+    private static final int MAX_OPEN_CALLS = 256; // limit of calls on the program's connection to the counter
+    private static final double STUCK_CONNECTION_MS = 5000; // until the program abandons the counter connection
     private static final double[] NO_LOAD_REPORT = new double[0];
 
-    /** The kinds of events that can lead to counter calls for which requests wait. */
+    /** The kinds of events, which tell whether requests wait for the counter calls that an event causes. */
     private enum EventKind {
         REQUEST,
         COUNTER_RESULT,
@@ -261,12 +261,12 @@
 
     @Override
     public void probeHost(String host) {
-        throw new IllegalStateException("the simulation does not support probes");
+        throw new IllegalStateException("probes are disabled in the simulation");
     }
 
     @Override
     public void sendPeerMessage(int peer, byte[] data) {
-        throw new IllegalStateException("the simulation does not support peer messages");
+        throw new IllegalStateException("peer messages are disabled in the simulation");
     }
 
     @Override
--- a/src/main/java/deckfall/scale/SimulatedServer.java
+++ b/src/main/java/deckfall/scale/SimulatedServer.java
@@ -14,7 +14,7 @@
  * work and sends no response.
  */
 final class SimulatedServer {
-    private static final int SERVICE_TIME_DRAW = 64; // index of a request's random number; plus the attempt's number
+    private static final int SERVICE_TIME_DRAW = 64; // index of a request's random number, offset by the attempt
 
     /** Whether the server takes work, and whether it can be reached. */
     enum State {
--- a/src/main/java/deckfall/scale/SimulationOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -97,7 +97,7 @@
     @Option(
             names = "--slots",
             defaultValue = "0",
-            description = "requests that a server processes concurrently; 0: as many that half are in use, "
+            description = "requests that a server processes concurrently; 0: enough for half to be in use, "
                     + "or one in twenty with real processes (${DEFAULT-VALUE})")
     int slots;
 
@@ -140,7 +140,7 @@
     @Option(
             names = "--open-limit",
             defaultValue = "0",
-            description = "limit of a customer's concurrent attempts; 0: no limit (${DEFAULT-VALUE})")
+            description = "limit of a customer's concurrent requests; 0: no limit (${DEFAULT-VALUE})")
     int maxOpenAttempts;
 
     @Option(
@@ -335,7 +335,7 @@
         return slots > 0 ? slots : slotsForUtilization(TARGET_UTILIZATION);
     }
 
-    /** The number of slots per server that yields such a utilization. */
+    /** The number of slots per server that yields the given utilization. */
     final int slotsForUtilization(double utilization) {
         return (int) Math.ceil(requestsPerSecond * serviceMs / 1000 / servers / utilization);
     }
--- a/src/main/java/deckfall/scale/SimulationRun.java
+++ b/src/main/java/deckfall/scale/SimulationRun.java
@@ -34,7 +34,7 @@
         return run(new Fleet(options, 0, options.gateways));
     }
 
-    /** Runs the same requests, admitted by token buckets that are known with a delay. */
+    /** Runs the same requests, admitted by the token buckets as they were {@code delayMs} before. */
     Result runReference(double delayMs) {
         Fleet reference = new Fleet(options, 0, options.gateways);
         reference.setAdmissionPolicy(new ReferenceAdmissionPolicy(reference.queue, reference.customers, delayMs));
