--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -69,7 +69,7 @@
                     plan.name(),
                     plan.rate() * rateFactor,
                     plan.burst() * rateFactor,
-                    options.maxOpenAttempts,
+                    options.maxOpenRequests,
                     plan.valueFactor(),
                     plan.excessWorth(),
                     plan.excessCost(),
