--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -26,7 +26,7 @@
     private static final double STUCK_CONNECTION_MS = 5000; // until the program abandons the counter connection
     private static final double[] NO_LOAD_REPORT = new double[0];
 
-    /** The kinds of events, which tell whether requests wait for the counter calls that an event causes. */
+    /** The kinds of events. The kind decides whether requests wait for the counter calls that an event causes. */
     private enum EventKind {
         REQUEST,
         COUNTER_RESULT,
--- a/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
+++ b/src/main/java/deckfall/scale/SimulatedLoadBalancer.java
@@ -1,8 +1,8 @@
 package deckfall.scale;
 
 /**
- * Simulates the load balancer in front of the gateways. It skips gateways that it knows to be down, which it detects
- * only after some seconds.
+ * Simulates the load balancer in front of the gateways. It skips gateways that it has detected as down; a failure is
+ * detected only after some seconds.
  */
 final class SimulatedLoadBalancer {
     static final double FAILURE_DETECTION_MS = 3000;
