--- a/src/main/java/deckfall/Main.java
+++ b/src/main/java/deckfall/Main.java
@@ -25,7 +25,7 @@
             System.exit(deckfall.scale.ScaleCommand.run(Arrays.copyOfRange(args, 1, args.length)));
         }
         if (args.length > 0 && args[0].equals("soak")) {
-            System.exit(deckfall.soak.Soak.run(Arrays.copyOfRange(args, 1, args.length)));
+            System.exit(deckfall.soak.SoakCommand.run(Arrays.copyOfRange(args, 1, args.length)));
         }
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
--- a/src/main/java/deckfall/soak/Soak.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -24,7 +24,7 @@
         name = "soak",
         description = "Real gateways under faults that overlap, judged by the rules of the service.",
         mixinStandardHelpOptions = true)
-public final class Soak implements Callable<Integer> {
+public final class SoakCommand implements Callable<Integer> {
     private static final int MOST_TOLD = 5; // of each rule that one run broke
     private static final int LEAST_GATEWAYS = 6;
     private static final int MOST_GATEWAYS = 18;
@@ -72,11 +72,11 @@
 
     private final PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
 
-    private Soak() {}
+    private SoakCommand() {}
 
     /** The exit code. */
     public static int run(String... arguments) {
-        return new CommandLine(new Soak()).execute(arguments);
+        return new CommandLine(new SoakCommand()).execute(arguments);
     }
 
     @Override
--- a/src/test/java/deckfall/soak/SoakTest.java
+++ b/src/test/java/deckfall/soak/SoakTest.java
@@ -24,7 +24,7 @@
             throws Exception {
         PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
         SoakOptions options = new SoakOptions(seed, gateways, SECONDS, faults, crowd, restarts, sockets);
-        Verdict verdict = Soak.run(options, folder, out);
+        Verdict verdict = SoakCommand.run(options, folder, out);
         assertEquals(List.of(), verdict.violations());
         int served = verdict.ends().getOrDefault(Ledger.End.SERVED, 0);
         assertTrue(served > verdict.sent() / 2, served + " of " + verdict.sent() + " were served");
