--- a/src/main/java/deckfall/soak/ClientLoad.java
+++ b/src/main/java/deckfall/soak/ClientLoad.java
@@ -1,7 +1,7 @@
 package deckfall.soak;
 
-import deckfall.soak.Ledger.End;
-import deckfall.soak.Ledger.Request;
+import deckfall.soak.RuleChecker.End;
+import deckfall.soak.RuleChecker.Request;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -52,7 +52,7 @@
     private static final long CROWD_STAYS_MS = 1500;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final RuleChecker checker;
     private final int gateway;
     private final InetSocketAddress address;
     private final Random random;
@@ -65,14 +65,14 @@
 
     ClientLoad(
             EventLoop loop,
-            Ledger ledger,
+            RuleChecker checker,
             int gateway,
             InetSocketAddress address,
             long seed,
             double perSecond,
             int mostKept) {
         this.loop = loop;
-        this.ledger = ledger;
+        this.checker = checker;
         this.gateway = gateway;
         this.address = address;
         this.random = new Random(seed);
@@ -206,7 +206,7 @@
             partly = false;
             for (Request r : batch) {
                 waiting.add(r);
-                ledger.sent(r);
+                checker.recordSent(r);
                 loop.schedule(() -> overdue(r), r.deadlineMs + LOST_AFTER_MS, TimeUnit.MILLISECONDS);
             }
             if (batch.size() == 1 && random.nextDouble() < SLOW_SHARE) {
@@ -223,12 +223,12 @@
         private void sendSlowly(Request r) {
             String message = message(r);
             int cut = 1 + random.nextInt(message.length() - 2);
-            r.whole = false;
+            r.fullyWritten = false;
             channel.writeAndFlush(text(message.substring(0, cut)));
             loop.schedule(
                     () -> {
-                        r.sentAt = Ledger.nowMs();
-                        r.whole = true;
+                        r.sentAtMs = RuleChecker.nowMs();
+                        r.fullyWritten = true;
                         channel.writeAndFlush(text(message.substring(cut)));
                     },
                     random.nextInt(60),
@@ -242,8 +242,8 @@
             left = true;
             channel.close();
             waiting.forEach(r -> {
-                r.leftAt = Ledger.nowMs();
-                ledger.ended(r, End.LEFT);
+                r.clientClosedAtMs = RuleChecker.nowMs();
+                checker.recordEnd(r, End.LEFT);
             });
             waiting.clear();
         }
@@ -252,12 +252,12 @@
             if (r.end != null || !waiting.contains(r)) {
                 return;
             }
-            double lagMs = ledger.lagNow();
-            if (lagMs > SMALL_LAG_MS && !r.allowedFor) {
-                r.allowedFor = true;
+            double lagMs = checker.currentLagMs();
+            if (lagMs > SMALL_LAG_MS && !r.lagAllowanceUsed) {
+                r.lagAllowanceUsed = true;
                 loop.schedule(() -> overdue(r), (long) lagMs, TimeUnit.MILLISECONDS);
             } else {
-                ledger.lost(r, "no whole answer " + LOST_AFTER_MS + " ms after its deadline");
+                checker.recordLost(r, "no whole answer " + LOST_AFTER_MS + " ms after its deadline");
                 channel.close();
             }
         }
@@ -270,7 +270,8 @@
             }
             Request r = waiting.poll();
             if (r == null || response.decoderResult().isFailure()) {
-                ledger.broken(Ledger.Rule.WRONG_ANSWER, "an answer that nobody asked for, or unreadable: " + response);
+                checker.recordViolation(
+                        RuleChecker.Rule.WRONG_ANSWER, "an answer that nobody asked for, or unreadable: " + response);
                 ctx.close();
                 return;
             }
@@ -279,9 +280,9 @@
             partly = !waiting.isEmpty();
             int status = response.status().code();
             if (status == OK) {
-                ledger.served(r, response.content().toString(StandardCharsets.US_ASCII));
+                checker.recordServed(r, response.content().toString(StandardCharsets.US_ASCII));
             } else {
-                ledger.ended(r, status == TOO_MANY_REQUESTS || status == UNAVAILABLE ? End.REFUSED : End.FAILED);
+                checker.recordEnd(r, status == TOO_MANY_REQUESTS || status == UNAVAILABLE ? End.REFUSED : End.FAILED);
             }
             if (!HttpUtil.isKeepAlive(response) || waiting.isEmpty() && idle.size() >= mostKept) {
                 ctx.close();
@@ -307,17 +308,17 @@
             if (r.end != null) {
                 return;
             }
-            if (ledger.excused(r)) {
-                ledger.ended(r, End.KILLED);
-            } else if (!r.whole) {
-                ledger.ended(r, End.NEVER_TAKEN); // its last byte had not been written
-            } else if (begun && r.brokenOff) {
-                ledger.ended(r, End.CUT_SHORT);
+            if (checker.isExcused(r)) {
+                checker.recordEnd(r, End.KILLED);
+            } else if (!r.fullyWritten) {
+                checker.recordEnd(r, End.NEVER_TAKEN); // its last byte had not been written
+            } else if (begun && r.responseTruncated) {
+                checker.recordEnd(r, End.CUT_SHORT);
             } else if (used && !begun && !partly && !r.resent) {
                 r.resent = true;
                 resend(r);
             } else {
-                ledger.lost(
+                checker.recordLost(
                         r,
                         "closed with " + (begun ? "a part" : "no byte") + " of an answer, on a "
                                 + (partly ? "pipelined" : used ? "used" : "new") + " connection");
--- a/src/main/java/deckfall/soak/Registry.java
+++ b/src/main/java/deckfall/soak/Registry.java
@@ -94,7 +94,7 @@
     }
 
     void silence(double ms) {
-        loop.execute(() -> silentUntil = Ledger.nowMs() + ms);
+        loop.execute(() -> silentUntil = RuleChecker.nowMs() + ms);
     }
 
     /** Each server once, in its last state. */
@@ -115,16 +115,16 @@
             long holdMs = query.containsKey("hold_ms")
                     ? Long.parseLong(query.get("hold_ms").get(0))
                     : 0;
-            look(ctx, from, Ledger.nowMs() + holdMs);
+            look(ctx, from, RuleChecker.nowMs() + holdMs);
         }
 
         private void look(ChannelHandlerContext ctx, int from, double until) {
             if (!ctx.channel().isActive()) {
                 return;
             }
-            boolean silent = Ledger.nowMs() < silentUntil;
+            boolean silent = RuleChecker.nowMs() < silentUntil;
             boolean known = from >= 0 && from <= changes.size();
-            if (silent || known && from == changes.size() && Ledger.nowMs() < until) {
+            if (silent || known && from == changes.size() && RuleChecker.nowMs() < until) {
                 loop.schedule(() -> look(ctx, from, until), LOOK_MS, TimeUnit.MILLISECONDS);
                 return;
             }
--- a/src/main/java/deckfall/soak/SeatServers.java
+++ b/src/main/java/deckfall/soak/SeatServers.java
@@ -46,15 +46,15 @@
         NO_LENGTH_RESET
     }
 
-    private final Ledger ledger;
+    private final RuleChecker checker;
     private final double troubleShare;
     private final AtomicLong made = new AtomicLong();
     private final List<Channel> listeners = new ArrayList<>();
     private final double[] hangsUntil;
 
     /** Servers at ports of the system's choice on loopback. */
-    SeatServers(EventLoopGroup group, Ledger ledger, int count, double troubleShare) {
-        this.ledger = ledger;
+    SeatServers(EventLoopGroup group, RuleChecker checker, int count, double troubleShare) {
+        this.checker = checker;
         this.troubleShare = troubleShare;
         hangsUntil = new double[count];
         for (int i = 0; i < count; i++) {
@@ -89,11 +89,11 @@
 
     /** For so long the server takes requests and answers none. */
     void hang(int server, double ms) {
-        hangsUntil[server] = Ledger.nowMs() + ms;
+        hangsUntil[server] = RuleChecker.nowMs() + ms;
     }
 
     private Way way(int server) {
-        if (Ledger.nowMs() < hangsUntil[server]) {
+        if (RuleChecker.nowMs() < hangsUntil[server]) {
             return Way.SILENT;
         }
         ThreadLocalRandom random = ThreadLocalRandom.current();
@@ -112,9 +112,9 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpRequest head) {
-                Ledger.Request r = ledger.request(head.headers().get("X-Trace-Id"));
+                RuleChecker.Request r = checker.findRequest(head.headers().get("X-Trace-Id"));
                 if (r != null) {
-                    ledger.attempt(r, "server " + server, told(head));
+                    checker.recordAttempt(r, "server " + server, told(head));
                 }
             }
             ctx.fireChannelRead(message);
@@ -135,7 +135,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            Ledger.Request r = ledger.request(request.headers().get("X-Trace-Id"));
+            RuleChecker.Request r = checker.findRequest(request.headers().get("X-Trace-Id"));
             Way way = way(server);
             if (r == null) {
                 ctx.writeAndFlush(text("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"));
@@ -145,39 +145,39 @@
                 ctx.writeAndFlush(text("HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
                 return;
             }
-            ledger.ran(r);
+            checker.recordExecution(r);
             int ms = ThreadLocalRandom.current().nextInt(LEAST_SERVICE_MS, MOST_SERVICE_MS);
             ctx.executor().schedule(() -> answer(ctx, r, way), ms, TimeUnit.MILLISECONDS);
         }
 
-        private void answer(ChannelHandlerContext ctx, Ledger.Request r, Way way) {
+        private void answer(ChannelHandlerContext ctx, RuleChecker.Request r, Way way) {
             String body = body(r);
             String head = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n";
             switch (way) {
                 case ERROR -> ctx.writeAndFlush(text("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
                 case RESET -> reset(ctx);
                 case BROKEN_OFF -> {
-                    r.brokenOff = true;
+                    r.responseTruncated = true;
                     ctx.writeAndFlush(text(head + body.substring(0, body.length() / 2)))
                             .addListener(f -> reset(ctx));
                 }
                 case TWICE -> {
-                    ledger.made(body);
+                    checker.recordCompleteBody(body);
                     ctx.writeAndFlush(text(head + body + head + body));
                 }
                 case NO_LENGTH -> {
-                    ledger.made(body);
+                    checker.recordCompleteBody(body);
                     ctx.writeAndFlush(text("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body))
                             .addListener(ChannelFutureListener.CLOSE);
                 }
                 case NO_LENGTH_RESET -> {
-                    r.brokenOff = true;
+                    r.responseTruncated = true;
                     ctx.writeAndFlush(text("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
                                     + body.substring(0, body.length() / 2)))
                             .addListener(f -> reset(ctx));
                 }
                 case WHOLE -> {
-                    ledger.made(body);
+                    checker.recordCompleteBody(body);
                     ctx.writeAndFlush(text(head + body));
                 }
                 default -> {} // silent
@@ -191,7 +191,7 @@
             ctx.close();
         }
 
-        private String body(Ledger.Request r) {
+        private String body(RuleChecker.Request r) {
             String start = r.id + " server " + server + " answer " + made.incrementAndGet() + ' ';
             boolean isLong = ThreadLocalRandom.current().nextDouble() < LONG_SHARE;
             return isLong ? start + "x".repeat(LONG_ANSWER) : start + "seats";
--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -1,7 +1,7 @@
 package deckfall.soak;
 
-import deckfall.soak.Ledger.Rule;
-import deckfall.soak.Ledger.Violation;
+import deckfall.soak.RuleChecker.Rule;
+import deckfall.soak.RuleChecker.Violation;
 import deckfall.soak.SoakRun.Verdict;
 import java.io.IOException;
 import java.io.PrintWriter;
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import deckfall.soak.GatewayUnderTest.Member;
-import deckfall.soak.Ledger.Rule;
-import deckfall.soak.Ledger.Violation;
+import deckfall.soak.RuleChecker.Rule;
+import deckfall.soak.RuleChecker.Violation;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.EventExecutor;
@@ -36,7 +36,7 @@
             long seed,
             int sent,
             int processes,
-            Map<Ledger.End, Integer> ends,
+            Map<RuleChecker.End, Integer> ends,
             double mostLagMs,
             List<Violation> violations) {}
 
@@ -44,7 +44,7 @@
     private final Path folder;
     private final FaultShim shim;
     private final List<String> command;
-    private final Ledger ledger = new Ledger();
+    private final RuleChecker checker = new RuleChecker();
     private final NioEventLoopGroup standIns = new NioEventLoopGroup(STAND_IN_THREADS);
     private final List<GatewayUnderTest> gateways = new CopyOnWriteArrayList<>();
     private final List<ClientLoad> loads = new ArrayList<>();
@@ -88,8 +88,9 @@
             standIns.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
         int processes = gateways.stream().mapToInt(g -> g.members.size()).sum();
-        List<Violation> violations = ledger.violations();
-        return new Verdict(options.seed(), ledger.sent(), processes, ledger.ends(), ledger.mostLag(), violations);
+        List<Violation> violations = checker.violations();
+        return new Verdict(
+                options.seed(), checker.recordSent(), processes, checker.countEnds(), checker.maxLagMs(), violations);
     }
 
     private void killAll() {
@@ -98,17 +99,17 @@
 
     private void startStandIns() {
         for (EventExecutor loop : standIns) {
-            double[] due = {Ledger.nowMs() + HEARTBEAT_MS};
+            double[] due = {RuleChecker.nowMs() + HEARTBEAT_MS};
             loop.scheduleAtFixedRate(
                     () -> {
-                        ledger.lag(Math.max(0, Ledger.nowMs() - due[0]));
-                        due[0] = Ledger.nowMs() + HEARTBEAT_MS;
+                        checker.recordLag(Math.max(0, RuleChecker.nowMs() - due[0]));
+                        due[0] = RuleChecker.nowMs() + HEARTBEAT_MS;
                     },
                     HEARTBEAT_MS,
                     HEARTBEAT_MS,
                     TimeUnit.MILLISECONDS);
         }
-        servers = new SeatServers(standIns, ledger, SEAT_SERVERS, SERVER_TROUBLE);
+        servers = new SeatServers(standIns, checker, SEAT_SERVERS, SERVER_TROUBLE);
         registry = new Registry((EventLoop) standIns.next());
         for (int s = 0; s < SEAT_SERVERS; s++) {
             registry.tell("s-" + s, servers.address(s), "ready", 0);
@@ -126,7 +127,13 @@
             double perSecond = 30 + random.nextInt(90);
             int mostKept = random.nextInt(3) == 0 ? Integer.MAX_VALUE : 20 + random.nextInt(400);
             loads.add(new ClientLoad(
-                    (EventLoop) standIns.next(), ledger, g, gateway.address(), random.nextLong(), perSecond, mostKept));
+                    (EventLoop) standIns.next(),
+                    checker,
+                    g,
+                    gateway.address(),
+                    random.nextLong(),
+                    perSecond,
+                    mostKept));
         }
     }
 
@@ -146,15 +153,15 @@
 
     /** False where the process is not ready in time, which breaks a rule, or the run has ended. */
     private boolean awaitReady(GatewayUnderTest g, Member m) throws InterruptedException {
-        double end = Ledger.nowMs() + READY_MS;
-        while (running && m.alive() && Ledger.nowMs() < end) {
+        double end = RuleChecker.nowMs() + READY_MS;
+        while (running && m.alive() && RuleChecker.nowMs() < end) {
             if (m.ready()) {
                 return true;
             }
             Thread.sleep(LOOK_MS);
         }
         if (running && m.alive()) {
-            ledger.broken(Rule.NOT_READY, "gateway " + g.number + ", faults " + m.faults);
+            checker.recordViolation(Rule.NOT_READY, "gateway " + g.number + ", faults " + m.faults);
         }
         return false;
     }
@@ -184,9 +191,9 @@
     }
 
     private void pause(double ms) throws InterruptedException {
-        double end = Ledger.nowMs() + ms;
-        while (running && Ledger.nowMs() < end) {
-            Thread.sleep((long) Math.min(LOOK_MS, Math.max(1, end - Ledger.nowMs())));
+        double end = RuleChecker.nowMs() + ms;
+        while (running && RuleChecker.nowMs() < end) {
+            Thread.sleep((long) Math.min(LOOK_MS, Math.max(1, end - RuleChecker.nowMs())));
         }
     }
 
@@ -233,12 +240,12 @@
     private void kill(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
         Member m = serving(g);
         m.endAsked = true;
-        Ledger.Outage outage = ledger.killed(g.number);
+        RuleChecker.Outage outage = checker.recordKill(g.number);
         m.signal("KILL");
         pause(END_GRACE_MS);
         load.front(false);
         startAndOpen(g, load, r);
-        outage.over();
+        outage.end();
     }
 
     private void startAndOpen(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
@@ -274,7 +281,7 @@
         if (r.nextInt(4) == 0 && m.reachable()) {
             m.signal("HUP");
         }
-        double at = Ledger.nowMs();
+        double at = RuleChecker.nowMs();
         m.signal("TERM");
         if (r.nextInt(3) == 0) {
             m.signal(r.nextBoolean() ? "TERM" : "HUP");
@@ -284,7 +291,7 @@
 
     private void awaitEndOrKill(Member m, double signalledAt) throws IOException, InterruptedException {
         double killAt = signalledAt + ClientLoad.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
-        while (m.alive() && Ledger.nowMs() < killAt) {
+        while (m.alive() && RuleChecker.nowMs() < killAt) {
             Thread.sleep(1);
         }
         if (m.alive()) {
@@ -302,13 +309,14 @@
                 for (Member m : g.members) {
                     if (!m.alive() && !m.endAsked && !told.contains(m)) {
                         told.add(m);
-                        ledger.broken(Rule.CRASH, "gateway " + g.number + " ended by itself, faults " + m.faults);
+                        checker.recordViolation(
+                                Rule.CRASH, "gateway " + g.number + " ended by itself, faults " + m.faults);
                     }
                 }
-                g.members.stream().filter(Member::alive).forEach(m -> ledger.lag(m.runDelayMs()));
+                g.members.stream().filter(Member::alive).forEach(m -> checker.recordLag(m.runDelayMs()));
                 long held = g.socketsHeld();
                 if (held > g.sockets) {
-                    ledger.broken(Rule.DESCRIPTORS, "gateway " + g.number + " holds " + held + " sockets");
+                    checker.recordViolation(Rule.DESCRIPTORS, "gateway " + g.number + " holds " + held + " sockets");
                 }
             }
             Thread.sleep(WATCH_MS);
--- a/src/test/java/deckfall/soak/SoakTest.java
+++ b/src/test/java/deckfall/soak/SoakTest.java
@@ -26,7 +26,7 @@
         SoakOptions options = new SoakOptions(seed, gateways, SECONDS, faults, crowd, restarts, sockets);
         Verdict verdict = SoakCommand.run(options, folder, out);
         assertEquals(List.of(), verdict.violations());
-        int served = verdict.ends().getOrDefault(Ledger.End.SERVED, 0);
+        int served = verdict.ends().getOrDefault(RuleChecker.End.SERVED, 0);
         assertTrue(served > verdict.sent() / 2, served + " of " + verdict.sent() + " were served");
     }
 
