--- a/src/main/java/deckfall/soak/Registry.java
+++ b/src/main/java/deckfall/soak/SimulatedDiscovery.java
@@ -31,9 +31,9 @@
  * Stands in for discovery at two addresses, between which a configuration may move a gateway: whole lists, watches
  * that tell changes, and spells of silence. All of it runs on one event loop.
  */
-final class Registry {
-    private static final int MOST_BODY = 1 << 16;
-    private static final long LOOK_MS = 20;
+final class SimulatedDiscovery {
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final long POLL_INTERVAL_MS = 20;
 
     /** A seat server as the list tells it. */
     private record Entry(String id, String address, String state, long startedMs) {
@@ -43,23 +43,26 @@
         }
     }
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Entry> changes = new ArrayList<>(); // by version
     private final List<Channel> listeners = new ArrayList<>();
-    private double silentUntil;
+    private double unresponsiveUntilMs;
 
-    Registry(EventLoop loop) {
-        this.loop = loop;
+    SimulatedDiscovery(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
         for (int i = 0; i < 2; i++) {
             listeners.add(new ServerBootstrap()
-                    .group(loop)
+                    .group(eventLoop)
                     .channel(NioServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel ch) {
                             ch.pipeline()
-                                    .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Calls());
+                                    .addLast(
+                                            new HttpServerCodec(),
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new RequestHandler());
                         }
                     })
                     .bind(InetAddress.getLoopbackAddress(), 0)
@@ -69,68 +72,73 @@
     }
 
     /** One of the two addresses. */
-    String address(int which) {
-        return "127.0.0.1:" + ((InetSocketAddress) listeners.get(which).localAddress()).getPort();
+    String address(int index) {
+        return "127.0.0.1:" + ((InetSocketAddress) listeners.get(index).localAddress()).getPort();
     }
 
     /** Tells of a server's state, {@code ready}, {@code draining} or {@code gone}; 0 means started long ago. */
-    void tell(String id, String address, String state, long startedMs) {
-        loop.submit(() -> {
-                    Entry e = new Entry(id, address, state, startedMs);
-                    entries.put(id, e);
+    void publish(String id, String address, String state, long startedMs) {
+        eventLoop
+                .submit(() -> {
+                    Entry entry = new Entry(id, address, state, startedMs);
+                    entries.put(id, entry);
                     if (state.equals("gone")) {
                         entries.remove(id);
                     }
-                    changes.add(e);
+                    changes.add(entry);
                 })
                 .syncUninterruptibly();
     }
 
     /** The whole list, as a configuration names it. */
-    String whole() {
-        return loop.submit(() -> list(true, new ArrayList<>(entries.values())))
+    String fullList() {
+        return eventLoop
+                .submit(() -> listJson(true, new ArrayList<>(entries.values())))
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    void silence(double ms) {
-        loop.execute(() -> silentUntil = RuleChecker.nowMs() + ms);
+    void stopResponding(double durationMs) {
+        eventLoop.execute(() -> unresponsiveUntilMs = RuleChecker.nowMs() + durationMs);
     }
 
     /** Each server once, in its last state. */
-    private String list(boolean full, List<Entry> of) {
-        Map<String, String> json = new LinkedHashMap<>();
-        of.forEach(e -> json.put(e.id, e.json()));
+    private String listJson(boolean full, List<Entry> listed) {
+        Map<String, String> jsonById = new LinkedHashMap<>();
+        listed.forEach(entry -> jsonById.put(entry.id, entry.json()));
         return "{\"version\":" + changes.size() + ",\"full\":" + full + ",\"servers\":["
-                + String.join(",", json.values()) + "]}";
+                + String.join(",", jsonById.values()) + "]}";
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             Map<String, List<String>> query = new QueryStringDecoder(request.uri()).parameters();
-            int from = query.containsKey("from")
+            int fromVersion = query.containsKey("from")
                     ? Integer.parseInt(query.get("from").get(0))
                     : -1;
             long holdMs = query.containsKey("hold_ms")
                     ? Long.parseLong(query.get("hold_ms").get(0))
                     : 0;
-            look(ctx, from, RuleChecker.nowMs() + holdMs);
+            respondWhenChanged(ctx, fromVersion, RuleChecker.nowMs() + holdMs);
         }
 
-        private void look(ChannelHandlerContext ctx, int from, double until) {
+        private void respondWhenChanged(ChannelHandlerContext ctx, int fromVersion, double holdUntilMs) {
             if (!ctx.channel().isActive()) {
                 return;
             }
-            boolean silent = RuleChecker.nowMs() < silentUntil;
-            boolean known = from >= 0 && from <= changes.size();
-            if (silent || known && from == changes.size() && RuleChecker.nowMs() < until) {
-                loop.schedule(() -> look(ctx, from, until), LOOK_MS, TimeUnit.MILLISECONDS);
+            boolean unresponsive = RuleChecker.nowMs() < unresponsiveUntilMs;
+            boolean knownVersion = fromVersion >= 0 && fromVersion <= changes.size();
+            if (unresponsive || knownVersion && fromVersion == changes.size() && RuleChecker.nowMs() < holdUntilMs) {
+                eventLoop.schedule(
+                        () -> respondWhenChanged(ctx, fromVersion, holdUntilMs),
+                        POLL_INTERVAL_MS,
+                        TimeUnit.MILLISECONDS);
                 return;
             }
-            String body = known
-                    ? list(false, new ArrayList<>(changes.subList(from, changes.size())))
-                    : list(true, new ArrayList<>(entries.values()));
+            String body = knownVersion
+                    ? listJson(false, new ArrayList<>(changes.subList(fromVersion, changes.size())))
+                    : listJson(true, new ArrayList<>(entries.values()));
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
--- a/src/main/java/deckfall/soak/SeatServers.java
+++ b/src/main/java/deckfall/soak/SimulatedServers.java
@@ -26,37 +26,37 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Stand-ins for seat servers, of which each may answer a request in any of the ways that the protocol allows. */
-final class SeatServers {
-    private static final int MOST_BODY = 1 << 20;
-    private static final int LEAST_SERVICE_MS = 5;
-    private static final int MOST_SERVICE_MS = 50;
-    private static final int LONG_ANSWER = 100 * 1024; // passed on as it comes
-    private static final double LONG_SHARE = 0.01;
+final class SimulatedServers {
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int MIN_SERVICE_MS = 5;
+    private static final int MAX_SERVICE_MS = 50;
+    private static final int LONG_BODY_BYTES = 100 * 1024; // passed on as it comes
+    private static final double LONG_BODY_SHARE = 0.01;
 
     /** How a request is answered. */
-    private enum Way {
-        WHOLE,
+    private enum ResponseMode {
+        COMPLETE,
         ERROR,
         RESET,
-        BROKEN_OFF,
-        SILENT,
-        TURNED_AWAY,
-        TWICE,
-        NO_LENGTH,
-        NO_LENGTH_RESET
+        TRUNCATED,
+        NO_RESPONSE,
+        REJECTED,
+        DUPLICATED,
+        CLOSE_DELIMITED,
+        CLOSE_DELIMITED_RESET
     }
 
     private final RuleChecker checker;
-    private final double troubleShare;
-    private final AtomicLong made = new AtomicLong();
+    private final double faultShare;
+    private final AtomicLong responseCount = new AtomicLong();
     private final List<Channel> listeners = new ArrayList<>();
-    private final double[] hangsUntil;
+    private final double[] hangsUntilMs;
 
     /** Servers at ports of the system's choice on loopback. */
-    SeatServers(EventLoopGroup group, RuleChecker checker, int count, double troubleShare) {
+    SimulatedServers(EventLoopGroup group, RuleChecker checker, int count, double faultShare) {
         this.checker = checker;
-        this.troubleShare = troubleShare;
-        hangsUntil = new double[count];
+        this.faultShare = faultShare;
+        hangsUntilMs = new double[count];
         for (int i = 0; i < count; i++) {
             int number = i;
             listeners.add(new ServerBootstrap()
@@ -68,9 +68,9 @@
                             ch.pipeline()
                                     .addLast(
                                             new HttpRequestDecoder(),
-                                            new Arrivals(number),
-                                            new HttpObjectAggregator(MOST_BODY),
-                                            new Answers(number));
+                                            new AttemptRecorder(number),
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new ResponseHandler(number));
                         }
                     })
                     .bind(InetAddress.getLoopbackAddress(), 0)
@@ -88,97 +88,98 @@
     }
 
     /** For so long the server takes requests and answers none. */
-    void hang(int server, double ms) {
-        hangsUntil[server] = RuleChecker.nowMs() + ms;
+    void hang(int server, double durationMs) {
+        hangsUntilMs[server] = RuleChecker.nowMs() + durationMs;
     }
 
-    private Way way(int server) {
-        if (RuleChecker.nowMs() < hangsUntil[server]) {
-            return Way.SILENT;
+    private ResponseMode drawMode(int server) {
+        if (RuleChecker.nowMs() < hangsUntilMs[server]) {
+            return ResponseMode.NO_RESPONSE;
         }
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        Way[] ways = Way.values();
-        return random.nextDouble() < troubleShare ? ways[1 + random.nextInt(ways.length - 1)] : Way.WHOLE;
+        ResponseMode[] modes = ResponseMode.values();
+        return random.nextDouble() < faultShare ? modes[1 + random.nextInt(modes.length - 1)] : ResponseMode.COMPLETE;
     }
 
     /** Notes the moment in which an attempt begins to arrive. */
-    private final class Arrivals extends ChannelInboundHandlerAdapter {
+    private final class AttemptRecorder extends ChannelInboundHandlerAdapter {
         private final int server;
 
-        Arrivals(int server) {
+        AttemptRecorder(int server) {
             this.server = server;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpRequest head) {
-                RuleChecker.Request r = checker.findRequest(head.headers().get("X-Trace-Id"));
-                if (r != null) {
-                    checker.recordAttempt(r, "server " + server, told(head));
+                RuleChecker.Request request = checker.findRequest(head.headers().get("X-Trace-Id"));
+                if (request != null) {
+                    checker.recordAttempt(request, "server " + server, expiresInMs(head));
                 }
             }
             ctx.fireChannelRead(message);
         }
 
-        private static double told(HttpRequest head) {
+        private static double expiresInMs(HttpRequest head) {
             String text = head.headers().get("X-Expires-In-Ms");
             return text == null ? 0 : Double.parseDouble(text);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int server;
 
-        Answers(int server) {
+        ResponseHandler(int server) {
             this.server = server;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            RuleChecker.Request r = checker.findRequest(request.headers().get("X-Trace-Id"));
-            Way way = way(server);
-            if (r == null) {
-                ctx.writeAndFlush(text("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"));
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
+            RuleChecker.Request request =
+                    checker.findRequest(httpRequest.headers().get("X-Trace-Id"));
+            ResponseMode mode = drawMode(server);
+            if (request == null) {
+                ctx.writeAndFlush(asciiBuffer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"));
                 return;
             }
-            if (way == Way.TURNED_AWAY) {
-                ctx.writeAndFlush(text("HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
+            if (mode == ResponseMode.REJECTED) {
+                ctx.writeAndFlush(asciiBuffer("HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
                 return;
             }
-            checker.recordExecution(r);
-            int ms = ThreadLocalRandom.current().nextInt(LEAST_SERVICE_MS, MOST_SERVICE_MS);
-            ctx.executor().schedule(() -> answer(ctx, r, way), ms, TimeUnit.MILLISECONDS);
+            checker.recordExecution(request);
+            int serviceMs = ThreadLocalRandom.current().nextInt(MIN_SERVICE_MS, MAX_SERVICE_MS);
+            ctx.executor().schedule(() -> respond(ctx, request, mode), serviceMs, TimeUnit.MILLISECONDS);
         }
 
-        private void answer(ChannelHandlerContext ctx, RuleChecker.Request r, Way way) {
-            String body = body(r);
+        private void respond(ChannelHandlerContext ctx, RuleChecker.Request request, ResponseMode mode) {
+            String body = createBody(request);
             String head = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n";
-            switch (way) {
-                case ERROR -> ctx.writeAndFlush(text("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
+            switch (mode) {
+                case ERROR -> ctx.writeAndFlush(asciiBuffer("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
                 case RESET -> reset(ctx);
-                case BROKEN_OFF -> {
-                    r.responseTruncated = true;
-                    ctx.writeAndFlush(text(head + body.substring(0, body.length() / 2)))
-                            .addListener(f -> reset(ctx));
+                case TRUNCATED -> {
+                    request.responseTruncated = true;
+                    ctx.writeAndFlush(asciiBuffer(head + body.substring(0, body.length() / 2)))
+                            .addListener(future -> reset(ctx));
                 }
-                case TWICE -> {
+                case DUPLICATED -> {
                     checker.recordCompleteBody(body);
-                    ctx.writeAndFlush(text(head + body + head + body));
+                    ctx.writeAndFlush(asciiBuffer(head + body + head + body));
                 }
-                case NO_LENGTH -> {
+                case CLOSE_DELIMITED -> {
                     checker.recordCompleteBody(body);
-                    ctx.writeAndFlush(text("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body))
+                    ctx.writeAndFlush(asciiBuffer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body))
                             .addListener(ChannelFutureListener.CLOSE);
                 }
-                case NO_LENGTH_RESET -> {
-                    r.responseTruncated = true;
-                    ctx.writeAndFlush(text("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+                case CLOSE_DELIMITED_RESET -> {
+                    request.responseTruncated = true;
+                    ctx.writeAndFlush(asciiBuffer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
                                     + body.substring(0, body.length() / 2)))
-                            .addListener(f -> reset(ctx));
+                            .addListener(future -> reset(ctx));
                 }
-                case WHOLE -> {
+                case COMPLETE -> {
                     checker.recordCompleteBody(body);
-                    ctx.writeAndFlush(text(head + body));
+                    ctx.writeAndFlush(asciiBuffer(head + body));
                 }
                 default -> {} // silent
             }
@@ -191,10 +192,10 @@
             ctx.close();
         }
 
-        private String body(RuleChecker.Request r) {
-            String start = r.id + " server " + server + " answer " + made.incrementAndGet() + ' ';
-            boolean isLong = ThreadLocalRandom.current().nextDouble() < LONG_SHARE;
-            return isLong ? start + "x".repeat(LONG_ANSWER) : start + "seats";
+        private String createBody(RuleChecker.Request request) {
+            String start = request.id + " server " + server + " answer " + responseCount.incrementAndGet() + ' ';
+            boolean isLong = ThreadLocalRandom.current().nextDouble() < LONG_BODY_SHARE;
+            return isLong ? start + "x".repeat(LONG_BODY_BYTES) : start + "seats";
         }
 
         @Override
@@ -203,7 +204,7 @@
         }
     }
 
-    private static ByteBuf text(String text) {
+    private static ByteBuf asciiBuffer(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -49,8 +49,8 @@
     private final List<GatewayUnderTest> gateways = new CopyOnWriteArrayList<>();
     private final List<ClientLoad> loads = new ArrayList<>();
     private final Random random;
-    private SeatServers servers;
-    private Registry registry;
+    private SimulatedServers servers;
+    private SimulatedDiscovery discovery;
     private volatile boolean running = true;
 
     SoakRun(SoakOptions options, Path folder, FaultShim shim, List<String> command) {
@@ -109,10 +109,10 @@
                     HEARTBEAT_MS,
                     TimeUnit.MILLISECONDS);
         }
-        servers = new SeatServers(standIns, checker, SEAT_SERVERS, SERVER_TROUBLE);
-        registry = new Registry((EventLoop) standIns.next());
+        servers = new SimulatedServers(standIns, checker, SEAT_SERVERS, SERVER_TROUBLE);
+        discovery = new SimulatedDiscovery((EventLoop) standIns.next());
         for (int s = 0; s < SEAT_SERVERS; s++) {
-            registry.tell("s-" + s, servers.address(s), "ready", 0);
+            discovery.publish("s-" + s, servers.address(s), "ready", 0);
         }
     }
 
@@ -331,13 +331,13 @@
             int s = r.nextInt(SEAT_SERVERS);
             switch (r.nextInt(3)) {
                 case 0 -> servers.hang(s, 300 + r.nextInt(1500));
-                case 1 -> registry.silence(r.nextInt(2000));
+                case 1 -> discovery.stopResponding(r.nextInt(2000));
                 default -> {
-                    registry.tell("s-" + s, servers.address(s), "draining", 0);
+                    discovery.publish("s-" + s, servers.address(s), "draining", 0);
                     pause(300 + r.nextInt(1000));
-                    registry.tell("s-" + s, servers.address(s), "gone", 0);
+                    discovery.publish("s-" + s, servers.address(s), "gone", 0);
                     pause(r.nextInt(1000));
-                    registry.tell("s-" + s, servers.address(s), "ready", System.currentTimeMillis() - ++life);
+                    discovery.publish("s-" + s, servers.address(s), "ready", System.currentTimeMillis() - ++life);
                 }
             }
         }
@@ -350,10 +350,10 @@
         ObjectNode root = json.createObjectNode()
                 .put("name", "n" + g.number)
                 .put("listen", "127.0.0.1:" + g.address().getPort())
-                .put("discovery", registry.address(discovery))
+                .put("discovery", discovery.address(discovery))
                 .put("seed", Long.toHexString(options.seed() * 1000 + g.number));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", g.sockets);
-        root.set("known", json.readTree(registry.whole()));
+        root.set("known", json.readTree(discovery.fullList()));
         ObjectNode settings =
                 root.putObject("settings").put("ordinal", 0).put("balancers", 1).put("az", "a");
         settings.putObject("limits")
