--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -345,12 +345,12 @@
 
     // ---- configuration
 
-    private String config(GatewayUnderTest g, int discovery) throws IOException {
+    private String config(GatewayUnderTest g, int discoveryIndex) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode root = json.createObjectNode()
                 .put("name", "n" + g.number)
                 .put("listen", "127.0.0.1:" + g.address().getPort())
-                .put("discovery", discovery.address(discovery))
+                .put("discovery", discovery.address(discoveryIndex))
                 .put("seed", Long.toHexString(options.seed() * 1000 + g.number));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", g.sockets);
         root.set("known", json.readTree(discovery.fullList()));
