--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -47,7 +47,7 @@
     private final RuleChecker checker = new RuleChecker();
     private final NioEventLoopGroup standIns = new NioEventLoopGroup(STAND_IN_THREADS);
     private final List<GatewayUnderTest> gateways = new CopyOnWriteArrayList<>();
-    private final List<ClientLoad> loads = new ArrayList<>();
+    private final List<LoadGenerator> loadGenerators = new ArrayList<>();
     private final Random random;
     private SimulatedServers servers;
     private SimulatedDiscovery discovery;
@@ -69,15 +69,15 @@
             startStandIns();
             startGateways();
             awaitAllReady();
-            loads.forEach(ClientLoad::start);
+            loadGenerators.forEach(LoadGenerator::start);
             for (int g = 0; g < gateways.size(); g++) {
                 scripts.add(script(g, random.nextLong()));
             }
             scripts.add(thread(this::serverEvents, random.nextLong()));
             scripts.add(thread(r -> watchProcesses(), 0));
             Thread.sleep(TimeUnit.SECONDS.toMillis(options.seconds()));
-            loads.forEach(ClientLoad::stop);
-            Thread.sleep(ClientLoad.settleMs());
+            loadGenerators.forEach(LoadGenerator::stop);
+            Thread.sleep(LoadGenerator.settleTimeMs());
         } finally {
             running = false;
             for (Thread t : scripts) {
@@ -126,7 +126,7 @@
             gateway.start(faults(random));
             double perSecond = 30 + random.nextInt(90);
             int mostKept = random.nextInt(3) == 0 ? Integer.MAX_VALUE : 20 + random.nextInt(400);
-            loads.add(new ClientLoad(
+            loadGenerators.add(new LoadGenerator(
                     (EventLoop) standIns.next(),
                     checker,
                     g,
@@ -187,7 +187,7 @@
     }
 
     private Thread script(int g, long seed) {
-        return thread(r -> processEvents(gateways.get(g), loads.get(g), r), seed);
+        return thread(r -> processEvents(gateways.get(g), loadGenerators.get(g), r), seed);
     }
 
     private void pause(double ms) throws InterruptedException {
@@ -197,21 +197,22 @@
         }
     }
 
-    private void processEvents(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
+    private void processEvents(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+            throws IOException, InterruptedException {
         pause(r.nextInt(3000));
         while (running && options.processEvents()) {
             if (options.crowd() && r.nextInt(2) == 0) {
-                load.crowd(options.sockets());
+                loadGenerator.openIdleConnections(options.sockets());
             }
             int event = r.nextInt(100);
             if (event < 25) {
                 hangups(g, r);
             } else if (event < 35) {
-                kill(g, load, r);
+                kill(g, loadGenerator, r);
             } else if (g.inherits) {
                 replace(g, r);
             } else {
-                restart(g, load, r);
+                restart(g, loadGenerator, r);
             }
             pause(500 + r.nextInt(3000));
         }
@@ -237,31 +238,34 @@
         }
     }
 
-    private void kill(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
+    private void kill(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+            throws IOException, InterruptedException {
         Member m = serving(g);
         m.endAsked = true;
         RuleChecker.Outage outage = checker.recordKill(g.number);
         m.signal("KILL");
         pause(END_GRACE_MS);
-        load.front(false);
-        startAndOpen(g, load, r);
+        loadGenerator.allowNewConnections(false);
+        startAndOpen(g, loadGenerator, r);
         outage.end();
     }
 
-    private void startAndOpen(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
+    private void startAndOpen(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+            throws IOException, InterruptedException {
         if (running && awaitReady(g, g.start(faults(r)))) {
-            load.front(true);
+            loadGenerator.allowNewConnections(true);
         }
     }
 
     /** A planned restart at the gateway's own listener. */
-    private void restart(GatewayUnderTest g, ClientLoad load, Random r) throws IOException, InterruptedException {
+    private void restart(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+            throws IOException, InterruptedException {
         Member m = serving(g);
         double signalled = terminate(m, r);
         pause(FRONT_LEAST_MS + r.nextInt(FRONT_MOST_MS - FRONT_LEAST_MS));
-        load.front(false);
+        loadGenerator.allowNewConnections(false);
         awaitEndOrKill(m, signalled);
-        startAndOpen(g, load, r);
+        startAndOpen(g, loadGenerator, r);
     }
 
     /** A second process begins at the shared listener, both serve for a while, and the first one ends. */
@@ -290,7 +294,7 @@
     }
 
     private void awaitEndOrKill(Member m, double signalledAt) throws IOException, InterruptedException {
-        double killAt = signalledAt + ClientLoad.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
+        double killAt = signalledAt + LoadGenerator.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
         while (m.alive() && RuleChecker.nowMs() < killAt) {
             Thread.sleep(1);
         }
