--- a/src/main/java/deckfall/soak/FaultShim.java
+++ b/src/main/java/deckfall/soak/FaultLibrary.java
@@ -8,21 +8,21 @@
 import java.util.concurrent.TimeUnit;
 
 /** The library that is preloaded into a gateway so that its system calls fail; compiled by the system's compiler. */
-final class FaultShim {
+final class FaultLibrary {
     static final String PLAN_VARIABLE = "FAULTS";
-    private static final String SOURCE = "faults.c";
-    private static final long COMPILE_SECONDS = 60;
+    private static final String SOURCE_FILE = "faults.c";
+    private static final long COMPILE_TIMEOUT_SECONDS = 60;
 
-    private final Path library;
+    private final Path path;
 
-    private FaultShim(Path library) {
-        this.library = library;
+    private FaultLibrary(Path path) {
+        this.path = path;
     }
 
     /** Compiles the library into a folder; without a C compiler this is an {@link IOException}. */
-    static FaultShim compile(Path folder) throws IOException, InterruptedException {
-        Path source = folder.resolve(SOURCE);
-        try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
+    static FaultLibrary compile(Path folder) throws IOException, InterruptedException {
+        Path source = folder.resolve(SOURCE_FILE);
+        try (InputStream in = FaultLibrary.class.getResourceAsStream(SOURCE_FILE)) {
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
         Path library = folder.resolve("faults.so");
@@ -31,13 +31,14 @@
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("cc.log").toFile())
                 .start();
-        if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-            throw new IOException("cc can't compile " + SOURCE + ": " + Files.readString(folder.resolve("cc.log")));
+        if (!compiler.waitFor(COMPILE_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+            throw new IOException(
+                    "cc can't compile " + SOURCE_FILE + ": " + Files.readString(folder.resolve("cc.log")));
         }
-        return new FaultShim(library);
+        return new FaultLibrary(library);
     }
 
-    Path library() {
-        return library;
+    Path path() {
+        return path;
     }
 }
--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -149,20 +149,21 @@
     final int sockets;
     final List<Member> members = new CopyOnWriteArrayList<>();
     private final List<String> command;
-    private final FaultShim shim;
+    private final FaultLibrary faultLibrary;
     private final Process holder; // of the listener; null where each process has its own
     private BufferedReader said;
     private OutputStream orders;
     private final int port;
     private int started;
 
-    GatewayUnderTest(int number, boolean inherits, int sockets, Path folder, FaultShim shim, List<String> command)
+    GatewayUnderTest(
+            int number, boolean inherits, int sockets, Path folder, FaultLibrary faultLibrary, List<String> command)
             throws IOException {
         this.number = number;
         this.inherits = inherits;
         this.sockets = sockets;
         this.folder = Files.createDirectories(folder);
-        this.shim = shim;
+        this.faultLibrary = faultLibrary;
         this.command = command;
         Files.createDirectories(folder.resolve("tmp"));
         holder = inherits ? hold() : null;
@@ -216,8 +217,8 @@
                 "NODE_CONFIG=" + folder.resolve("config.json"),
                 "NODE_OPERATOR=127.0.0.1:" + operatorPort,
                 "TMPDIR=" + folder.resolve("tmp"),
-                "LD_PRELOAD=" + shim.library(),
-                FaultShim.PLAN_VARIABLE + "=" + faults);
+                "LD_PRELOAD=" + faultLibrary.path(),
+                FaultLibrary.PLAN_VARIABLE + "=" + faults);
         ProcessHandle handle = inherits ? startInheriting(log, variables) : startAlone(log, variables);
         InetSocketAddress operator = new InetSocketAddress(InetAddress.getLoopbackAddress(), operatorPort);
         Member member = new Member(handle, operator, faults);
--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -102,7 +102,7 @@
         Path folder = keep == null
                 ? Files.createTempDirectory("soak")
                 : Files.createDirectories(keep.resolve("seed-" + options.seed()));
-        Verdict verdict = new SoakRun(options, folder, FaultShim.compile(folder), command()).run();
+        Verdict verdict = new SoakRun(options, folder, FaultLibrary.compile(folder), command()).run();
         print(verdict, options, out);
         if (keep == null || verdict.violations().isEmpty()) {
             delete(folder);
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -42,7 +42,7 @@
 
     private final SoakOptions options;
     private final Path folder;
-    private final FaultShim shim;
+    private final FaultLibrary faultLibrary;
     private final List<String> command;
     private final RuleChecker checker = new RuleChecker();
     private final NioEventLoopGroup standIns = new NioEventLoopGroup(STAND_IN_THREADS);
@@ -53,10 +53,10 @@
     private SimulatedDiscovery discovery;
     private volatile boolean running = true;
 
-    SoakRun(SoakOptions options, Path folder, FaultShim shim, List<String> command) {
+    SoakRun(SoakOptions options, Path folder, FaultLibrary faultLibrary, List<String> command) {
         this.options = options;
         this.folder = folder;
-        this.shim = shim;
+        this.faultLibrary = faultLibrary;
         this.command = command;
         this.random = new Random(options.seed());
     }
@@ -119,8 +119,8 @@
     private void startGateways() throws IOException {
         for (int g = 0; g < options.gateways(); g++) {
             boolean inherits = g % 2 == 1;
-            GatewayUnderTest gateway =
-                    new GatewayUnderTest(g, inherits, options.sockets(), folder.resolve("g" + g), shim, command);
+            GatewayUnderTest gateway = new GatewayUnderTest(
+                    g, inherits, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
             gateways.add(gateway);
             gateway.configure(config(gateway, 0));
             gateway.start(faults(random));
