--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -45,48 +45,48 @@
             }
             """;
 
-    private static final int LEAST_PORT = 12_000; // below those that the system gives to outgoing connections
+    private static final int FIRST_PORT = 12_000; // below those that the system gives to outgoing connections
     private static final int PORT_MASK = 0x3fff;
     private static final AtomicInteger NEXT_PORT =
             new AtomicInteger((int) ProcessHandle.current().pid() * 64);
-    private static final String EVENT_LOOP = "nioEventLoop"; // a thread's name begins so
+    private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop"; // a thread's name begins so
     private static final double NANOS_PER_MS = 1e6;
-    private static final int CALL_MS = 500; // to the operator's address
+    private static final int CALL_TIMEOUT_MS = 500; // to the operator's address
 
     /** One process, with what has been asked of it. */
-    static final class Member {
+    static final class GatewayProcess {
         final ProcessHandle handle;
-        final InetSocketAddress operator;
+        final InetSocketAddress operatorAddress;
         final String faults;
-        private final Map<Path, Long> runDelays = new HashMap<>();
-        volatile boolean endAsked;
+        private final Map<Path, Long> runDelaysNanos = new HashMap<>();
+        volatile boolean endRequested;
 
-        Member(ProcessHandle handle, InetSocketAddress operator, String faults) {
+        GatewayProcess(ProcessHandle handle, InetSocketAddress operatorAddress, String faults) {
             this.handle = handle;
-            this.operator = operator;
+            this.operatorAddress = operatorAddress;
             this.faults = faults;
         }
 
-        boolean alive() {
+        boolean isAlive() {
             return handle.isAlive();
         }
 
         /** Whether it says that it takes clients. */
-        boolean ready() {
-            return "ACK".equals(call("health"));
+        boolean isReady() {
+            return "ACK".equals(callOperator("health"));
         }
 
         /** Whether it can be asked at all. */
-        boolean reachable() {
-            return call("health") != null;
+        boolean isReachable() {
+            return callOperator("health") != null;
         }
 
-        private String call(String line) {
-            try (Socket s = new Socket()) {
-                s.connect(operator, CALL_MS);
-                s.setSoTimeout(CALL_MS);
-                s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-                InputStream in = s.getInputStream();
+        private String callOperator(String line) {
+            try (Socket socket = new Socket()) {
+                socket.connect(operatorAddress, CALL_TIMEOUT_MS);
+                socket.setSoTimeout(CALL_TIMEOUT_MS);
+                socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+                InputStream in = socket.getInputStream();
                 return new String(in.readAllBytes(), StandardCharsets.US_ASCII).trim();
             } catch (IOException e) {
                 return null;
@@ -96,7 +96,7 @@
         void signal(String name) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + name, Long.toString(handle.pid()))
                     .start()
-                    .waitFor(CALL_MS, TimeUnit.MILLISECONDS);
+                    .waitFor(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         /**
@@ -104,31 +104,31 @@
          * delay, which the kernel counts for each thread.
          */
         double runDelayMs() {
-            double most = 0;
+            double maxMs = 0;
             try (Stream<Path> threads = Files.list(Path.of("/proc/" + handle.pid() + "/task"))) {
                 for (Path thread : threads.toList()) {
-                    most = Math.max(most, runDelayMs(thread));
+                    maxMs = Math.max(maxMs, runDelayMs(thread));
                 }
             } catch (IOException | UncheckedIOException e) {
                 return 0; // it has ended
             }
-            return most;
+            return maxMs;
         }
 
         private double runDelayMs(Path thread) throws IOException {
-            if (!Files.readString(thread.resolve("comm")).startsWith(EVENT_LOOP)) {
+            if (!Files.readString(thread.resolve("comm")).startsWith(EVENT_LOOP_THREAD_PREFIX)) {
                 return 0;
             }
             long nanos =
                     Long.parseLong(Files.readString(thread.resolve("schedstat")).split(" ")[1]);
-            Long before = runDelays.put(thread, nanos);
-            return before == null ? 0 : (nanos - before) / NANOS_PER_MS;
+            Long previous = runDelaysNanos.put(thread, nanos);
+            return previous == null ? 0 : (nanos - previous) / NANOS_PER_MS;
         }
 
         /** How many of its descriptors are sockets. */
-        long sockets() {
+        long countSockets() {
             try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + handle.pid() + "/fd"))) {
-                return descriptors.filter(Member::isSocket).count();
+                return descriptors.filter(GatewayProcess::isSocket).count();
             } catch (IOException | UncheckedIOException e) {
                 return 0; // it has ended
             }
@@ -144,54 +144,61 @@
     }
 
     final int number;
-    final boolean inherits;
+    final boolean inheritsListener;
     final Path folder;
-    final int sockets;
-    final List<Member> members = new CopyOnWriteArrayList<>();
+    final int maxSockets;
+    final List<GatewayProcess> processes = new CopyOnWriteArrayList<>();
     private final List<String> command;
     private final FaultLibrary faultLibrary;
-    private final Process holder; // of the listener; null where each process has its own
-    private BufferedReader said;
-    private OutputStream orders;
+    private final Process listenerHolder; // of the listener; null where each process has its own
+    private BufferedReader holderOutput;
+    private OutputStream holderInput;
     private final int port;
-    private int started;
+    private int startedCount;
 
     GatewayUnderTest(
-            int number, boolean inherits, int sockets, Path folder, FaultLibrary faultLibrary, List<String> command)
+            int number,
+            boolean inheritsListener,
+            int maxSockets,
+            Path folder,
+            FaultLibrary faultLibrary,
+            List<String> command)
             throws IOException {
         this.number = number;
-        this.inherits = inherits;
-        this.sockets = sockets;
+        this.inheritsListener = inheritsListener;
+        this.maxSockets = maxSockets;
         this.folder = Files.createDirectories(folder);
         this.faultLibrary = faultLibrary;
         this.command = command;
         Files.createDirectories(folder.resolve("tmp"));
-        holder = inherits ? hold() : null;
-        port = inherits ? Integer.parseInt(said.readLine()) : freePort();
+        listenerHolder = inheritsListener ? startListenerHolder() : null;
+        port = inheritsListener ? Integer.parseInt(holderOutput.readLine()) : freePort();
     }
 
-    private Process hold() throws IOException {
-        ProcessBuilder b = new ProcessBuilder("perl", "-e", LISTENER_HOLDER);
-        b.command().addAll(limited());
-        Process started = b.redirectError(folder.resolve("holder.log").toFile()).start();
-        said = started.inputReader();
-        orders = started.getOutputStream();
-        return started;
+    private Process startListenerHolder() throws IOException {
+        ProcessBuilder builder = new ProcessBuilder("perl", "-e", LISTENER_HOLDER);
+        builder.command().addAll(commandWithDescriptorLimit());
+        Process process =
+                builder.redirectError(folder.resolve("holder.log").toFile()).start();
+        holderOutput = process.inputReader();
+        holderInput = process.getOutputStream();
+        return process;
     }
 
     /** The program's command with the limit on descriptors that the platform sets. */
-    private List<String> limited() {
+    private List<String> commandWithDescriptorLimit() {
         return Stream.concat(
-                        Stream.of("/bin/sh", "-c", "ulimit -n " + sockets + "; exec \"$0\" \"$@\""), command.stream())
+                        Stream.of("/bin/sh", "-c", "ulimit -n " + maxSockets + "; exec \"$0\" \"$@\""),
+                        command.stream())
                 .toList();
     }
 
     /** A port that no outgoing connection is given, as it has to stay free while a process is replaced. */
     static int freePort() throws IOException {
         while (true) {
-            int port = LEAST_PORT + (NEXT_PORT.getAndIncrement() & PORT_MASK);
-            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return free.getLocalPort();
+            int port = FIRST_PORT + (NEXT_PORT.getAndIncrement() & PORT_MASK);
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (BindException e) {
                 // in use; the next one may be free
             }
@@ -208,9 +215,9 @@
     }
 
     /** Starts one more process. */
-    Member start(String faults) throws IOException {
+    GatewayProcess start(String faults) throws IOException {
         int operatorPort = freePort();
-        Path log = folder.resolve("log." + ++started);
+        Path log = folder.resolve("log." + ++startedCount);
         Files.writeString(log, "faults: " + faults + "\n");
         List<String> variables = List.of(
                 "NODE_NAME=n" + number,
@@ -219,44 +226,48 @@
                 "TMPDIR=" + folder.resolve("tmp"),
                 "LD_PRELOAD=" + faultLibrary.path(),
                 FaultLibrary.PLAN_VARIABLE + "=" + faults);
-        ProcessHandle handle = inherits ? startInheriting(log, variables) : startAlone(log, variables);
-        InetSocketAddress operator = new InetSocketAddress(InetAddress.getLoopbackAddress(), operatorPort);
-        Member member = new Member(handle, operator, faults);
-        members.add(member);
-        return member;
+        ProcessHandle handle =
+                inheritsListener ? startWithInheritedListener(log, variables) : startWithOwnListener(log, variables);
+        InetSocketAddress operatorAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), operatorPort);
+        GatewayProcess process = new GatewayProcess(handle, operatorAddress, faults);
+        processes.add(process);
+        return process;
     }
 
-    private ProcessHandle startAlone(Path log, List<String> variables) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(limited())
+    private ProcessHandle startWithOwnListener(Path log, List<String> variables) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(commandWithDescriptorLimit())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        for (String v : variables) {
-            int equals = v.indexOf('=');
-            b.environment().put(v.substring(0, equals), v.substring(equals + 1));
+        for (String variable : variables) {
+            int equals = variable.indexOf('=');
+            builder.environment().put(variable.substring(0, equals), variable.substring(equals + 1));
         }
-        return b.start().toHandle();
+        return builder.start().toHandle();
     }
 
-    private ProcessHandle startInheriting(Path log, List<String> variables) throws IOException {
+    private ProcessHandle startWithInheritedListener(Path log, List<String> variables) throws IOException {
         String line = log + "\tNODE_LISTEN_FD=0\t" + String.join("\t", variables) + "\n";
-        orders.write(line.getBytes(StandardCharsets.US_ASCII));
-        orders.flush();
-        return ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow();
+        holderInput.write(line.getBytes(StandardCharsets.US_ASCII));
+        holderInput.flush();
+        return ProcessHandle.of(Long.parseLong(holderOutput.readLine())).orElseThrow();
     }
 
     /** Sockets that all its processes hold together. */
-    long socketsHeld() {
-        return members.stream().filter(Member::alive).mapToLong(Member::sockets).sum();
+    long countSockets() {
+        return processes.stream()
+                .filter(GatewayProcess::isAlive)
+                .mapToLong(GatewayProcess::countSockets)
+                .sum();
     }
 
     @Override
     public void close() {
-        for (Member m : members) {
-            m.endAsked = true;
-            m.handle.destroyForcibly();
+        for (GatewayProcess process : processes) {
+            process.endRequested = true;
+            process.handle.destroyForcibly();
         }
-        if (holder != null) {
-            holder.destroyForcibly();
+        if (listenerHolder != null) {
+            listenerHolder.destroyForcibly();
         }
     }
 }
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import deckfall.soak.GatewayUnderTest.Member;
+import deckfall.soak.GatewayUnderTest.GatewayProcess;
 import deckfall.soak.RuleChecker.Rule;
 import deckfall.soak.RuleChecker.Violation;
 import io.netty.channel.EventLoop;
@@ -87,7 +87,7 @@
             Runtime.getRuntime().removeShutdownHook(atExit);
             standIns.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
-        int processes = gateways.stream().mapToInt(g -> g.members.size()).sum();
+        int processes = gateways.stream().mapToInt(g -> g.processes.size()).sum();
         List<Violation> violations = checker.violations();
         return new Verdict(
                 options.seed(), checker.recordSent(), processes, checker.countEnds(), checker.maxLagMs(), violations);
@@ -147,20 +147,20 @@
 
     private void awaitAllReady() throws InterruptedException {
         for (GatewayUnderTest g : gateways) {
-            awaitReady(g, g.members.get(0));
+            awaitReady(g, g.processes.get(0));
         }
     }
 
     /** False where the process is not ready in time, which breaks a rule, or the run has ended. */
-    private boolean awaitReady(GatewayUnderTest g, Member m) throws InterruptedException {
+    private boolean awaitReady(GatewayUnderTest g, GatewayProcess m) throws InterruptedException {
         double end = RuleChecker.nowMs() + READY_MS;
-        while (running && m.alive() && RuleChecker.nowMs() < end) {
-            if (m.ready()) {
+        while (running && m.isAlive() && RuleChecker.nowMs() < end) {
+            if (m.isReady()) {
                 return true;
             }
             Thread.sleep(LOOK_MS);
         }
-        if (running && m.alive()) {
+        if (running && m.isAlive()) {
             checker.recordViolation(Rule.NOT_READY, "gateway " + g.number + ", faults " + m.faults);
         }
         return false;
@@ -209,7 +209,7 @@
                 hangups(g, r);
             } else if (event < 35) {
                 kill(g, loadGenerator, r);
-            } else if (g.inherits) {
+            } else if (g.inheritsListener) {
                 replace(g, r);
             } else {
                 restart(g, loadGenerator, r);
@@ -218,15 +218,15 @@
         }
     }
 
-    private static Member serving(GatewayUnderTest g) {
-        return g.members.get(g.members.size() - 1);
+    private static GatewayProcess serving(GatewayUnderTest g) {
+        return g.processes.get(g.processes.size() - 1);
     }
 
     /** New configurations in a row, of which some are being written when the signal comes. */
     private void hangups(GatewayUnderTest g, Random r) throws IOException, InterruptedException {
-        Member m = serving(g);
+        GatewayProcess m = serving(g);
         int count = 1 + r.nextInt(3);
-        for (int i = 0; i < count && m.reachable(); i++) {
+        for (int i = 0; i < count && m.isReachable(); i++) {
             String config = config(g, r.nextInt(2));
             if (r.nextInt(4) == 0) {
                 g.configure(config.substring(0, config.length() / 2));
@@ -240,8 +240,8 @@
 
     private void kill(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
             throws IOException, InterruptedException {
-        Member m = serving(g);
-        m.endAsked = true;
+        GatewayProcess m = serving(g);
+        m.endRequested = true;
         RuleChecker.Outage outage = checker.recordKill(g.number);
         m.signal("KILL");
         pause(END_GRACE_MS);
@@ -260,7 +260,7 @@
     /** A planned restart at the gateway's own listener. */
     private void restart(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
             throws IOException, InterruptedException {
-        Member m = serving(g);
+        GatewayProcess m = serving(g);
         double signalled = terminate(m, r);
         pause(FRONT_LEAST_MS + r.nextInt(FRONT_MOST_MS - FRONT_LEAST_MS));
         loadGenerator.allowNewConnections(false);
@@ -270,8 +270,8 @@
 
     /** A second process begins at the shared listener, both serve for a while, and the first one ends. */
     private void replace(GatewayUnderTest g, Random r) throws IOException, InterruptedException {
-        Member old = serving(g);
-        Member fresh = g.start(faults(r));
+        GatewayProcess old = serving(g);
+        GatewayProcess fresh = g.start(faults(r));
         if (!awaitReady(g, fresh)) {
             return;
         }
@@ -280,9 +280,9 @@
     }
 
     /** SIGTERM, and sometimes more signals behind it. */
-    private double terminate(Member m, Random r) throws IOException, InterruptedException {
-        m.endAsked = true;
-        if (r.nextInt(4) == 0 && m.reachable()) {
+    private double terminate(GatewayProcess m, Random r) throws IOException, InterruptedException {
+        m.endRequested = true;
+        if (r.nextInt(4) == 0 && m.isReachable()) {
             m.signal("HUP");
         }
         double at = RuleChecker.nowMs();
@@ -293,33 +293,33 @@
         return at;
     }
 
-    private void awaitEndOrKill(Member m, double signalledAt) throws IOException, InterruptedException {
+    private void awaitEndOrKill(GatewayProcess m, double signalledAt) throws IOException, InterruptedException {
         double killAt = signalledAt + LoadGenerator.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
-        while (m.alive() && RuleChecker.nowMs() < killAt) {
+        while (m.isAlive() && RuleChecker.nowMs() < killAt) {
             Thread.sleep(1);
         }
-        if (m.alive()) {
+        if (m.isAlive()) {
             m.signal("KILL");
         }
-        while (m.alive()) {
+        while (m.isAlive()) {
             Thread.sleep(1);
         }
     }
 
     private void watchProcesses() throws InterruptedException {
-        List<Member> told = new ArrayList<>();
+        List<GatewayProcess> told = new ArrayList<>();
         while (running) {
             for (GatewayUnderTest g : gateways) {
-                for (Member m : g.members) {
-                    if (!m.alive() && !m.endAsked && !told.contains(m)) {
+                for (GatewayProcess m : g.processes) {
+                    if (!m.isAlive() && !m.endRequested && !told.contains(m)) {
                         told.add(m);
                         checker.recordViolation(
                                 Rule.CRASH, "gateway " + g.number + " ended by itself, faults " + m.faults);
                     }
                 }
-                g.members.stream().filter(Member::alive).forEach(m -> checker.recordLag(m.runDelayMs()));
-                long held = g.socketsHeld();
-                if (held > g.sockets) {
+                g.processes.stream().filter(GatewayProcess::isAlive).forEach(m -> checker.recordLag(m.runDelayMs()));
+                long held = g.countSockets();
+                if (held > g.maxSockets) {
                     checker.recordViolation(Rule.DESCRIPTORS, "gateway " + g.number + " holds " + held + " sockets");
                 }
             }
@@ -356,7 +356,7 @@
                 .put("listen", "127.0.0.1:" + g.address().getPort())
                 .put("discovery", discovery.address(discoveryIndex))
                 .put("seed", Long.toHexString(options.seed() * 1000 + g.number));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", g.sockets);
+        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", g.maxSockets);
         root.set("known", json.readTree(discovery.fullList()));
         ObjectNode settings =
                 root.putObject("settings").put("ordinal", 0).put("balancers", 1).put("az", "a");
