--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -2,7 +2,7 @@
 
 import deckfall.soak.RuleChecker.Rule;
 import deckfall.soak.RuleChecker.Violation;
-import deckfall.soak.SoakRun.Verdict;
+import deckfall.soak.SoakRun.RunResult;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -93,16 +93,16 @@
         int drawn = LEAST_GATEWAYS + new Random(s).nextInt(MOST_GATEWAYS - LEAST_GATEWAYS + 1);
         boolean crowded = crowd.equals("always") || crowd.equals(SoakOptions.DRAWN) && s % CROWD_EVERY == 0;
         boolean few = crowded || s % FEW_SOCKETS_EVERY == 0;
-        int held = sockets > 0 ? sockets : few ? SoakOptions.FEW_SOCKETS : SoakOptions.USUAL_SOCKETS;
+        int held = sockets > 0 ? sockets : few ? SoakOptions.FEW_SOCKETS : SoakOptions.DEFAULT_SOCKETS;
         return new SoakOptions(s, gateways > 0 ? gateways : drawn, seconds, faults, crowded, !noRestarts, held);
     }
 
     /** Plays one run and prints its line; logs are kept only of runs with broken rules, and only where asked for. */
-    static Verdict run(SoakOptions options, Path keep, PrintWriter out) throws IOException, InterruptedException {
+    static RunResult run(SoakOptions options, Path keep, PrintWriter out) throws IOException, InterruptedException {
         Path folder = keep == null
                 ? Files.createTempDirectory("soak")
                 : Files.createDirectories(keep.resolve("seed-" + options.seed()));
-        Verdict verdict = new SoakRun(options, folder, FaultLibrary.compile(folder), command()).run();
+        RunResult verdict = new SoakRun(options, folder, FaultLibrary.compile(folder), command()).run();
         print(verdict, options, out);
         if (keep == null || verdict.violations().isEmpty()) {
             delete(folder);
@@ -118,7 +118,7 @@
         return command;
     }
 
-    private static void print(Verdict v, SoakOptions options, PrintWriter out) {
+    private static void print(RunResult v, SoakOptions options, PrintWriter out) {
         out.printf(
                 Locale.ROOT,
                 "seed %d: %d gateways of %d descriptors, %d processes%s, %d requests %s, event loops at most %.0f ms late, %d rules broken%n",
@@ -127,9 +127,9 @@
                 options.sockets(),
                 v.processes(),
                 options.crowd() ? ", a crowd" : "",
-                v.sent(),
+                v.requestsSent(),
                 v.ends(),
-                v.mostLagMs(),
+                v.maxLagMs(),
                 v.violations().size());
         for (Rule rule : Rule.values()) {
             List<Violation> of =
--- a/src/main/java/deckfall/soak/SoakOptions.java
+++ b/src/main/java/deckfall/soak/SoakOptions.java
@@ -9,6 +9,6 @@
         long seed, int gateways, int seconds, String faults, boolean crowd, boolean processEvents, int sockets) {
     static final String DRAWN = "drawn";
     static final String NONE = "none";
-    static final int USUAL_SOCKETS = 1024;
+    static final int DEFAULT_SOCKETS = 1024;
     static final int FEW_SOCKETS = 256;
 }
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -19,25 +19,25 @@
 
 /** One run of the soak: starts the gateways, lets load and faults go on side by side, and gives the verdict. */
 final class SoakRun {
-    private static final int STAND_IN_THREADS = 3;
+    private static final int EVENT_LOOP_THREADS = 3;
     private static final int SEAT_SERVERS = 6;
-    private static final double SERVER_TROUBLE = 0.11; // share of requests that a server does not simply answer
-    private static final long READY_MS = 30_000;
+    private static final double SERVER_FAULT_SHARE = 0.11; // share of requests that a server does not simply answer
+    private static final long READY_TIMEOUT_MS = 30_000;
     private static final long KILL_AFTER_DEADLINE_MS = 700; // from SIGTERM, beyond the longest deadline
-    private static final int FRONT_LEAST_MS = 200; // until the front sends nothing new to a gateway that ends
-    private static final int FRONT_MOST_MS = 400;
-    private static final long LOOK_MS = 30;
-    private static final long WATCH_MS = 100;
-    private static final long HEARTBEAT_MS = 10;
-    private static final long END_GRACE_MS = 50; // of a SIGKILL, until the process is gone
+    private static final int MIN_BALANCER_DELAY_MS = 200; // until the front sends nothing new to a gateway that ends
+    private static final int MAX_BALANCER_DELAY_MS = 400;
+    private static final long POLL_INTERVAL_MS = 30;
+    private static final long WATCH_INTERVAL_MS = 100;
+    private static final long LAG_PROBE_INTERVAL_MS = 10;
+    private static final long KILL_GRACE_MS = 50; // of a SIGKILL, until the process is gone
 
     /** What came of a run. */
-    record Verdict(
+    record RunResult(
             long seed,
-            int sent,
+            int requestsSent,
             int processes,
             Map<RuleChecker.End, Integer> ends,
-            double mostLagMs,
+            double maxLagMs,
             List<Violation> violations) {}
 
     private final SoakOptions options;
@@ -45,7 +45,7 @@
     private final FaultLibrary faultLibrary;
     private final List<String> command;
     private final RuleChecker checker = new RuleChecker();
-    private final NioEventLoopGroup standIns = new NioEventLoopGroup(STAND_IN_THREADS);
+    private final NioEventLoopGroup eventLoops = new NioEventLoopGroup(EVENT_LOOP_THREADS);
     private final List<GatewayUnderTest> gateways = new CopyOnWriteArrayList<>();
     private final List<LoadGenerator> loadGenerators = new ArrayList<>();
     private final Random random;
@@ -61,35 +61,35 @@
         this.random = new Random(options.seed());
     }
 
-    Verdict run() throws IOException, InterruptedException {
+    RunResult run() throws IOException, InterruptedException {
         List<Thread> scripts = new ArrayList<>();
-        Thread atExit = new Thread(this::killAll); // also where the soak itself is ended
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Thread shutdownHook = new Thread(this::killAll); // also where the soak itself is ended
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            startStandIns();
+            startSimulatedServices();
             startGateways();
             awaitAllReady();
             loadGenerators.forEach(LoadGenerator::start);
             for (int g = 0; g < gateways.size(); g++) {
-                scripts.add(script(g, random.nextLong()));
+                scripts.add(startProcessEvents(g, random.nextLong()));
             }
-            scripts.add(thread(this::serverEvents, random.nextLong()));
-            scripts.add(thread(r -> watchProcesses(), 0));
+            scripts.add(startScript(this::runServerEvents, random.nextLong()));
+            scripts.add(startScript(r -> watchProcesses(), 0));
             Thread.sleep(TimeUnit.SECONDS.toMillis(options.seconds()));
             loadGenerators.forEach(LoadGenerator::stop);
             Thread.sleep(LoadGenerator.settleTimeMs());
         } finally {
             running = false;
-            for (Thread t : scripts) {
-                t.join();
+            for (Thread script : scripts) {
+                script.join();
             }
             killAll();
-            Runtime.getRuntime().removeShutdownHook(atExit);
-            standIns.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
         int processes = gateways.stream().mapToInt(g -> g.processes.size()).sum();
         List<Violation> violations = checker.violations();
-        return new Verdict(
+        return new RunResult(
                 options.seed(), checker.recordSent(), processes, checker.countEnds(), checker.maxLagMs(), violations);
     }
 
@@ -97,20 +97,20 @@
         gateways.forEach(GatewayUnderTest::close);
     }
 
-    private void startStandIns() {
-        for (EventExecutor loop : standIns) {
-            double[] due = {RuleChecker.nowMs() + HEARTBEAT_MS};
+    private void startSimulatedServices() {
+        for (EventExecutor loop : eventLoops) {
+            double[] dueMs = {RuleChecker.nowMs() + LAG_PROBE_INTERVAL_MS};
             loop.scheduleAtFixedRate(
                     () -> {
-                        checker.recordLag(Math.max(0, RuleChecker.nowMs() - due[0]));
-                        due[0] = RuleChecker.nowMs() + HEARTBEAT_MS;
+                        checker.recordLag(Math.max(0, RuleChecker.nowMs() - dueMs[0]));
+                        dueMs[0] = RuleChecker.nowMs() + LAG_PROBE_INTERVAL_MS;
                     },
-                    HEARTBEAT_MS,
-                    HEARTBEAT_MS,
+                    LAG_PROBE_INTERVAL_MS,
+                    LAG_PROBE_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
-        servers = new SimulatedServers(standIns, checker, SEAT_SERVERS, SERVER_TROUBLE);
-        discovery = new SimulatedDiscovery((EventLoop) standIns.next());
+        servers = new SimulatedServers(eventLoops, checker, SEAT_SERVERS, SERVER_FAULT_SHARE);
+        discovery = new SimulatedDiscovery((EventLoop) eventLoops.next());
         for (int s = 0; s < SEAT_SERVERS; s++) {
             discovery.publish("s-" + s, servers.address(s), "ready", 0);
         }
@@ -122,46 +122,46 @@
             GatewayUnderTest gateway = new GatewayUnderTest(
                     g, inherits, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
             gateways.add(gateway);
-            gateway.configure(config(gateway, 0));
-            gateway.start(faults(random));
-            double perSecond = 30 + random.nextInt(90);
-            int mostKept = random.nextInt(3) == 0 ? Integer.MAX_VALUE : 20 + random.nextInt(400);
+            gateway.configure(configJson(gateway, 0));
+            gateway.start(drawFaults(random));
+            double requestsPerSecond = 30 + random.nextInt(90);
+            int maxIdleConnections = random.nextInt(3) == 0 ? Integer.MAX_VALUE : 20 + random.nextInt(400);
             loadGenerators.add(new LoadGenerator(
-                    (EventLoop) standIns.next(),
+                    (EventLoop) eventLoops.next(),
                     checker,
                     g,
                     gateway.address(),
                     random.nextLong(),
-                    perSecond,
-                    mostKept));
+                    requestsPerSecond,
+                    maxIdleConnections));
         }
     }
 
-    private String faults(Random from) {
+    private String drawFaults(Random source) {
         return switch (options.faults()) {
-            case SoakOptions.DRAWN -> FaultPlan.draw(from);
+            case SoakOptions.DRAWN -> FaultPlan.draw(source);
             case SoakOptions.NONE -> "";
             default -> options.faults();
         };
     }
 
     private void awaitAllReady() throws InterruptedException {
-        for (GatewayUnderTest g : gateways) {
-            awaitReady(g, g.processes.get(0));
+        for (GatewayUnderTest gateway : gateways) {
+            awaitReady(gateway, gateway.processes.get(0));
         }
     }
 
     /** False where the process is not ready in time, which breaks a rule, or the run has ended. */
-    private boolean awaitReady(GatewayUnderTest g, GatewayProcess m) throws InterruptedException {
-        double end = RuleChecker.nowMs() + READY_MS;
-        while (running && m.isAlive() && RuleChecker.nowMs() < end) {
-            if (m.isReady()) {
+    private boolean awaitReady(GatewayUnderTest gateway, GatewayProcess process) throws InterruptedException {
+        double endMs = RuleChecker.nowMs() + READY_TIMEOUT_MS;
+        while (running && process.isAlive() && RuleChecker.nowMs() < endMs) {
+            if (process.isReady()) {
                 return true;
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        if (running && m.isAlive()) {
-            checker.recordViolation(Rule.NOT_READY, "gateway " + g.number + ", faults " + m.faults);
+        if (running && process.isAlive()) {
+            checker.recordViolation(Rule.NOT_READY, "gateway " + gateway.number + ", faults " + process.faults);
         }
         return false;
     }
@@ -169,179 +169,184 @@
     // ---- what happens to processes
 
     private interface Script {
-        void play(Random random) throws IOException, InterruptedException;
+        void run(Random random) throws IOException, InterruptedException;
     }
 
-    private Thread thread(Script script, long seed) {
-        Thread t = new Thread(() -> {
+    private Thread startScript(Script script, long seed) {
+        Thread thread = new Thread(() -> {
             try {
-                script.play(new Random(seed));
+                script.run(new Random(seed));
             } catch (IOException | RuntimeException e) {
                 throw new IllegalStateException("the soak itself failed", e);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        t.start();
-        return t;
+        thread.start();
+        return thread;
     }
 
-    private Thread script(int g, long seed) {
-        return thread(r -> processEvents(gateways.get(g), loadGenerators.get(g), r), seed);
+    private Thread startProcessEvents(int g, long seed) {
+        return startScript(r -> runProcessEvents(gateways.get(g), loadGenerators.get(g), r), seed);
     }
 
-    private void pause(double ms) throws InterruptedException {
-        double end = RuleChecker.nowMs() + ms;
-        while (running && RuleChecker.nowMs() < end) {
-            Thread.sleep((long) Math.min(LOOK_MS, Math.max(1, end - RuleChecker.nowMs())));
+    private void pause(double durationMs) throws InterruptedException {
+        double endMs = RuleChecker.nowMs() + durationMs;
+        while (running && RuleChecker.nowMs() < endMs) {
+            Thread.sleep((long) Math.min(POLL_INTERVAL_MS, Math.max(1, endMs - RuleChecker.nowMs())));
         }
     }
 
-    private void processEvents(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+    private void runProcessEvents(GatewayUnderTest gateway, LoadGenerator loadGenerator, Random scriptRandom)
             throws IOException, InterruptedException {
-        pause(r.nextInt(3000));
+        pause(scriptRandom.nextInt(3000));
         while (running && options.processEvents()) {
-            if (options.crowd() && r.nextInt(2) == 0) {
+            if (options.crowd() && scriptRandom.nextInt(2) == 0) {
                 loadGenerator.openIdleConnections(options.sockets());
             }
-            int event = r.nextInt(100);
+            int event = scriptRandom.nextInt(100);
             if (event < 25) {
-                hangups(g, r);
+                reloadConfig(gateway, scriptRandom);
             } else if (event < 35) {
-                kill(g, loadGenerator, r);
-            } else if (g.inheritsListener) {
-                replace(g, r);
+                killAndRestart(gateway, loadGenerator, scriptRandom);
+            } else if (gateway.inheritsListener) {
+                replaceProcess(gateway, scriptRandom);
             } else {
-                restart(g, loadGenerator, r);
+                restart(gateway, loadGenerator, scriptRandom);
             }
-            pause(500 + r.nextInt(3000));
+            pause(500 + scriptRandom.nextInt(3000));
         }
     }
 
-    private static GatewayProcess serving(GatewayUnderTest g) {
-        return g.processes.get(g.processes.size() - 1);
+    private static GatewayProcess newestProcess(GatewayUnderTest gateway) {
+        return gateway.processes.get(gateway.processes.size() - 1);
     }
 
     /** New configurations in a row, of which some are being written when the signal comes. */
-    private void hangups(GatewayUnderTest g, Random r) throws IOException, InterruptedException {
-        GatewayProcess m = serving(g);
-        int count = 1 + r.nextInt(3);
-        for (int i = 0; i < count && m.isReachable(); i++) {
-            String config = config(g, r.nextInt(2));
-            if (r.nextInt(4) == 0) {
-                g.configure(config.substring(0, config.length() / 2));
-                m.signal("HUP");
+    private void reloadConfig(GatewayUnderTest gateway, Random scriptRandom) throws IOException, InterruptedException {
+        GatewayProcess process = newestProcess(gateway);
+        int count = 1 + scriptRandom.nextInt(3);
+        for (int i = 0; i < count && process.isReachable(); i++) {
+            String config = configJson(gateway, scriptRandom.nextInt(2));
+            if (scriptRandom.nextInt(4) == 0) {
+                gateway.configure(config.substring(0, config.length() / 2));
+                process.signal("HUP");
             }
-            g.configure(config);
-            m.signal("HUP");
-            pause(r.nextInt(300));
+            gateway.configure(config);
+            process.signal("HUP");
+            pause(scriptRandom.nextInt(300));
         }
     }
 
-    private void kill(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+    private void killAndRestart(GatewayUnderTest gateway, LoadGenerator loadGenerator, Random scriptRandom)
             throws IOException, InterruptedException {
-        GatewayProcess m = serving(g);
-        m.endRequested = true;
-        RuleChecker.Outage outage = checker.recordKill(g.number);
-        m.signal("KILL");
-        pause(END_GRACE_MS);
+        GatewayProcess process = newestProcess(gateway);
+        process.endRequested = true;
+        RuleChecker.Outage outage = checker.recordKill(gateway.number);
+        process.signal("KILL");
+        pause(KILL_GRACE_MS);
         loadGenerator.allowNewConnections(false);
-        startAndOpen(g, loadGenerator, r);
+        startAndResumeConnections(gateway, loadGenerator, scriptRandom);
         outage.end();
     }
 
-    private void startAndOpen(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+    private void startAndResumeConnections(GatewayUnderTest gateway, LoadGenerator loadGenerator, Random scriptRandom)
             throws IOException, InterruptedException {
-        if (running && awaitReady(g, g.start(faults(r)))) {
+        if (running && awaitReady(gateway, gateway.start(drawFaults(scriptRandom)))) {
             loadGenerator.allowNewConnections(true);
         }
     }
 
     /** A planned restart at the gateway's own listener. */
-    private void restart(GatewayUnderTest g, LoadGenerator loadGenerator, Random r)
+    private void restart(GatewayUnderTest gateway, LoadGenerator loadGenerator, Random scriptRandom)
             throws IOException, InterruptedException {
-        GatewayProcess m = serving(g);
-        double signalled = terminate(m, r);
-        pause(FRONT_LEAST_MS + r.nextInt(FRONT_MOST_MS - FRONT_LEAST_MS));
+        GatewayProcess process = newestProcess(gateway);
+        double signalledAtMs = terminate(process, scriptRandom);
+        pause(MIN_BALANCER_DELAY_MS + scriptRandom.nextInt(MAX_BALANCER_DELAY_MS - MIN_BALANCER_DELAY_MS));
         loadGenerator.allowNewConnections(false);
-        awaitEndOrKill(m, signalled);
-        startAndOpen(g, loadGenerator, r);
+        awaitEndOrKill(process, signalledAtMs);
+        startAndResumeConnections(gateway, loadGenerator, scriptRandom);
     }
 
     /** A second process begins at the shared listener, both serve for a while, and the first one ends. */
-    private void replace(GatewayUnderTest g, Random r) throws IOException, InterruptedException {
-        GatewayProcess old = serving(g);
-        GatewayProcess fresh = g.start(faults(r));
-        if (!awaitReady(g, fresh)) {
+    private void replaceProcess(GatewayUnderTest gateway, Random scriptRandom)
+            throws IOException, InterruptedException {
+        GatewayProcess oldProcess = newestProcess(gateway);
+        GatewayProcess newProcess = gateway.start(drawFaults(scriptRandom));
+        if (!awaitReady(gateway, newProcess)) {
             return;
         }
-        pause(r.nextInt(4000));
-        awaitEndOrKill(old, terminate(old, r));
+        pause(scriptRandom.nextInt(4000));
+        awaitEndOrKill(oldProcess, terminate(oldProcess, scriptRandom));
     }
 
     /** SIGTERM, and sometimes more signals behind it. */
-    private double terminate(GatewayProcess m, Random r) throws IOException, InterruptedException {
-        m.endRequested = true;
-        if (r.nextInt(4) == 0 && m.isReachable()) {
-            m.signal("HUP");
+    private double terminate(GatewayProcess process, Random scriptRandom) throws IOException, InterruptedException {
+        process.endRequested = true;
+        if (scriptRandom.nextInt(4) == 0 && process.isReachable()) {
+            process.signal("HUP");
         }
-        double at = RuleChecker.nowMs();
-        m.signal("TERM");
-        if (r.nextInt(3) == 0) {
-            m.signal(r.nextBoolean() ? "TERM" : "HUP");
+        double signalledAtMs = RuleChecker.nowMs();
+        process.signal("TERM");
+        if (scriptRandom.nextInt(3) == 0) {
+            process.signal(scriptRandom.nextBoolean() ? "TERM" : "HUP");
         }
-        return at;
+        return signalledAtMs;
     }
 
-    private void awaitEndOrKill(GatewayProcess m, double signalledAt) throws IOException, InterruptedException {
-        double killAt = signalledAt + LoadGenerator.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
-        while (m.isAlive() && RuleChecker.nowMs() < killAt) {
+    private void awaitEndOrKill(GatewayProcess process, double signalledAtMs) throws IOException, InterruptedException {
+        double killAtMs = signalledAtMs + LoadGenerator.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
+        while (process.isAlive() && RuleChecker.nowMs() < killAtMs) {
             Thread.sleep(1);
         }
-        if (m.isAlive()) {
-            m.signal("KILL");
+        if (process.isAlive()) {
+            process.signal("KILL");
         }
-        while (m.isAlive()) {
+        while (process.isAlive()) {
             Thread.sleep(1);
         }
     }
 
     private void watchProcesses() throws InterruptedException {
-        List<GatewayProcess> told = new ArrayList<>();
+        List<GatewayProcess> reported = new ArrayList<>();
         while (running) {
-            for (GatewayUnderTest g : gateways) {
-                for (GatewayProcess m : g.processes) {
-                    if (!m.isAlive() && !m.endRequested && !told.contains(m)) {
-                        told.add(m);
+            for (GatewayUnderTest gateway : gateways) {
+                for (GatewayProcess process : gateway.processes) {
+                    if (!process.isAlive() && !process.endRequested && !reported.contains(process)) {
+                        reported.add(process);
                         checker.recordViolation(
-                                Rule.CRASH, "gateway " + g.number + " ended by itself, faults " + m.faults);
+                                Rule.CRASH, "gateway " + gateway.number + " ended by itself, faults " + process.faults);
                     }
                 }
-                g.processes.stream().filter(GatewayProcess::isAlive).forEach(m -> checker.recordLag(m.runDelayMs()));
-                long held = g.countSockets();
-                if (held > g.maxSockets) {
-                    checker.recordViolation(Rule.DESCRIPTORS, "gateway " + g.number + " holds " + held + " sockets");
+                gateway.processes.stream()
+                        .filter(GatewayProcess::isAlive)
+                        .forEach(process -> checker.recordLag(process.runDelayMs()));
+                long openSockets = gateway.countSockets();
+                if (openSockets > gateway.maxSockets) {
+                    checker.recordViolation(
+                            Rule.DESCRIPTORS, "gateway " + gateway.number + " holds " + openSockets + " sockets");
                 }
             }
-            Thread.sleep(WATCH_MS);
+            Thread.sleep(WATCH_INTERVAL_MS);
         }
     }
 
     /** Servers hang, drain, go and come back; discovery falls silent. */
-    private void serverEvents(Random r) throws InterruptedException {
-        int life = 0;
+    private void runServerEvents(Random scriptRandom) throws InterruptedException {
+        int restarts = 0;
         while (running) {
-            pause(500 + r.nextInt(2000));
-            int s = r.nextInt(SEAT_SERVERS);
-            switch (r.nextInt(3)) {
-                case 0 -> servers.hang(s, 300 + r.nextInt(1500));
-                case 1 -> discovery.stopResponding(r.nextInt(2000));
+            pause(500 + scriptRandom.nextInt(2000));
+            int server = scriptRandom.nextInt(SEAT_SERVERS);
+            switch (scriptRandom.nextInt(3)) {
+                case 0 -> servers.hang(server, 300 + scriptRandom.nextInt(1500));
+                case 1 -> discovery.stopResponding(scriptRandom.nextInt(2000));
                 default -> {
-                    discovery.publish("s-" + s, servers.address(s), "draining", 0);
-                    pause(300 + r.nextInt(1000));
-                    discovery.publish("s-" + s, servers.address(s), "gone", 0);
-                    pause(r.nextInt(1000));
-                    discovery.publish("s-" + s, servers.address(s), "ready", System.currentTimeMillis() - ++life);
+                    discovery.publish("s-" + server, servers.address(server), "draining", 0);
+                    pause(300 + scriptRandom.nextInt(1000));
+                    discovery.publish("s-" + server, servers.address(server), "gone", 0);
+                    pause(scriptRandom.nextInt(1000));
+                    discovery.publish(
+                            "s-" + server, servers.address(server), "ready", System.currentTimeMillis() - ++restarts);
                 }
             }
         }
@@ -349,14 +354,14 @@
 
     // ---- configuration
 
-    private String config(GatewayUnderTest g, int discoveryIndex) throws IOException {
+    private String configJson(GatewayUnderTest gateway, int discoveryIndex) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode root = json.createObjectNode()
-                .put("name", "n" + g.number)
-                .put("listen", "127.0.0.1:" + g.address().getPort())
+                .put("name", "n" + gateway.number)
+                .put("listen", "127.0.0.1:" + gateway.address().getPort())
                 .put("discovery", discovery.address(discoveryIndex))
-                .put("seed", Long.toHexString(options.seed() * 1000 + g.number));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", g.maxSockets);
+                .put("seed", Long.toHexString(options.seed() * 1000 + gateway.number));
+        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", gateway.maxSockets);
         root.set("known", json.readTree(discovery.fullList()));
         ObjectNode settings =
                 root.putObject("settings").put("ordinal", 0).put("balancers", 1).put("az", "a");
@@ -385,11 +390,12 @@
         return root.toString();
     }
 
-    private static ObjectNode requestClass(ObjectMapper json, String name, String effect, int aimMs, int deadlineMs) {
+    private static ObjectNode requestClass(
+            ObjectMapper json, String name, String effect, int goalTimeMs, int deadlineMs) {
         return json.createObjectNode()
                 .put("name", name)
                 .put("effect", effect)
-                .put("goal_time_ms", aimMs)
+                .put("goal_time_ms", goalTimeMs)
                 .put("hard_limit_ms", deadlineMs)
                 .put("worth", 1);
     }
--- a/src/test/java/deckfall/soak/SoakTest.java
+++ b/src/test/java/deckfall/soak/SoakTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.soak.SoakRun.Verdict;
+import deckfall.soak.SoakRun.RunResult;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -24,16 +24,16 @@
             throws Exception {
         PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
         SoakOptions options = new SoakOptions(seed, gateways, SECONDS, faults, crowd, restarts, sockets);
-        Verdict verdict = SoakCommand.run(options, folder, out);
+        RunResult verdict = SoakCommand.run(options, folder, out);
         assertEquals(List.of(), verdict.violations());
         int served = verdict.ends().getOrDefault(RuleChecker.End.SERVED, 0);
-        assertTrue(served > verdict.sent() / 2, served + " of " + verdict.sent() + " were served");
+        assertTrue(served > verdict.requestsSent() / 2, served + " of " + verdict.requestsSent() + " were served");
     }
 
     /** Clients on new connections waited for a second, past their deadlines, after one failed accept. */
     @Test
     void requestsAreAnsweredWhileAcceptFailsForMoments() throws Exception {
-        assertKept(11, 4, "accept,ENFILE,20,2000,500", !CROWDED, !RESTARTED, SoakOptions.USUAL_SOCKETS);
+        assertKept(11, 4, "accept,ENFILE,20,2000,500", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
     /** Clients' connections were closed unread once two processes of a gateway together held their cap of clients. */
@@ -45,19 +45,19 @@
     /** An interrupted read was taken for the end of the connection, whose request then got no answer. */
     @Test
     void requestsAreAnsweredWhileReadsAreInterrupted() throws Exception {
-        assertKept(11, 4, "read,EINTR,100,300,0", !CROWDED, !RESTARTED, SoakOptions.USUAL_SOCKETS);
+        assertKept(11, 4, "read,EINTR,100,300,0", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
     /** A write for which there was no buffer for a moment closed the connection under its answer. */
     @Test
     void requestsAreAnsweredWhileWritesFindNoBuffer() throws Exception {
-        assertKept(11, 4, "write,ENOBUFS,20,500,0,client", !CROWDED, !RESTARTED, SoakOptions.USUAL_SOCKETS);
+        assertKept(11, 4, "write,ENOBUFS,20,500,0,client", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
     /** Faults of all kinds that overlap. */
     @Test
     void rulesAreKeptUnderDrawnFaults() throws Exception {
-        assertKept(101, 8, SoakOptions.DRAWN, !CROWDED, RESTARTED, SoakOptions.USUAL_SOCKETS);
+        assertKept(101, 8, SoakOptions.DRAWN, !CROWDED, RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
     /** The same where idle clients fill the descriptors. */
