--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -25,13 +25,13 @@
         description = "Real gateways under faults that overlap, judged by the rules of the service.",
         mixinStandardHelpOptions = true)
 public final class SoakCommand implements Callable<Integer> {
-    private static final int MOST_TOLD = 5; // of each rule that one run broke
-    private static final int LEAST_GATEWAYS = 6;
-    private static final int MOST_GATEWAYS = 18;
-    private static final int CROWD_EVERY = 4; // seeds
-    private static final int FEW_SOCKETS_EVERY = 3;
+    private static final int MAX_PRINTED_VIOLATIONS = 5; // of each rule that one run broke
+    private static final int MIN_GATEWAYS = 6;
+    private static final int MAX_GATEWAYS = 18;
+    private static final int CROWD_SEED_INTERVAL = 4; // seeds
+    private static final int FEW_SOCKETS_SEED_INTERVAL = 3;
     /** As the deploy file starts it, but for the class archive, which the platform's build makes. */
-    private static final List<String> JVM = List.of(
+    private static final List<String> JVM_OPTIONS = List.of(
             "-Djava.net.preferIPv4Stack=true",
             "-Xms24m",
             "-Xmx48m",
@@ -81,20 +81,22 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        int broken = 0;
-        for (long s = seed; s < seed + runs; s++) {
-            broken += run(options(s), keep, out).violations().isEmpty() ? 0 : 1;
+        int failedRuns = 0;
+        for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
+            failedRuns += run(options(runSeed), keep, out).violations().isEmpty() ? 0 : 1;
         }
-        out.println("soak: " + (runs - broken) + " of " + runs + " runs kept all rules");
-        return broken == 0 ? 0 : 1;
+        out.println("soak: " + (runs - failedRuns) + " of " + runs + " runs kept all rules");
+        return failedRuns == 0 ? 0 : 1;
     }
 
-    private SoakOptions options(long s) {
-        int drawn = LEAST_GATEWAYS + new Random(s).nextInt(MOST_GATEWAYS - LEAST_GATEWAYS + 1);
-        boolean crowded = crowd.equals("always") || crowd.equals(SoakOptions.DRAWN) && s % CROWD_EVERY == 0;
-        boolean few = crowded || s % FEW_SOCKETS_EVERY == 0;
-        int held = sockets > 0 ? sockets : few ? SoakOptions.FEW_SOCKETS : SoakOptions.DEFAULT_SOCKETS;
-        return new SoakOptions(s, gateways > 0 ? gateways : drawn, seconds, faults, crowded, !noRestarts, held);
+    private SoakOptions options(long runSeed) {
+        int drawnGateways = MIN_GATEWAYS + new Random(runSeed).nextInt(MAX_GATEWAYS - MIN_GATEWAYS + 1);
+        boolean crowded =
+                crowd.equals("always") || crowd.equals(SoakOptions.DRAWN) && runSeed % CROWD_SEED_INTERVAL == 0;
+        boolean fewSockets = crowded || runSeed % FEW_SOCKETS_SEED_INTERVAL == 0;
+        int maxSockets = sockets > 0 ? sockets : fewSockets ? SoakOptions.FEW_SOCKETS : SoakOptions.DEFAULT_SOCKETS;
+        return new SoakOptions(
+                runSeed, gateways > 0 ? gateways : drawnGateways, seconds, faults, crowded, !noRestarts, maxSockets);
     }
 
     /** Plays one run and prints its line; logs are kept only of runs with broken rules, and only where asked for. */
@@ -102,51 +104,53 @@
         Path folder = keep == null
                 ? Files.createTempDirectory("soak")
                 : Files.createDirectories(keep.resolve("seed-" + options.seed()));
-        RunResult verdict = new SoakRun(options, folder, FaultLibrary.compile(folder), command()).run();
-        print(verdict, options, out);
-        if (keep == null || verdict.violations().isEmpty()) {
+        RunResult result = new SoakRun(options, folder, FaultLibrary.compile(folder), command()).run();
+        print(result, options, out);
+        if (keep == null || result.violations().isEmpty()) {
             delete(folder);
         }
-        return verdict;
+        return result;
     }
 
     private static List<String> command() {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "deckfall.Main", "serve"));
         return command;
     }
 
-    private static void print(RunResult v, SoakOptions options, PrintWriter out) {
+    private static void print(RunResult result, SoakOptions options, PrintWriter out) {
         out.printf(
                 Locale.ROOT,
                 "seed %d: %d gateways of %d descriptors, %d processes%s, %d requests %s, event loops at most %.0f ms late, %d rules broken%n",
-                v.seed(),
+                result.seed(),
                 options.gateways(),
                 options.sockets(),
-                v.processes(),
+                result.processes(),
                 options.crowd() ? ", a crowd" : "",
-                v.requestsSent(),
-                v.ends(),
-                v.maxLagMs(),
-                v.violations().size());
+                result.requestsSent(),
+                result.ends(),
+                result.maxLagMs(),
+                result.violations().size());
         for (Rule rule : Rule.values()) {
-            List<Violation> of =
-                    v.violations().stream().filter(x -> x.rule() == rule).toList();
-            if (!of.isEmpty()) {
-                out.println("  " + rule + ": " + of.size());
+            List<Violation> ruleViolations = result.violations().stream()
+                    .filter(violation -> violation.rule() == rule)
+                    .toList();
+            if (!ruleViolations.isEmpty()) {
+                out.println("  " + rule + ": " + ruleViolations.size());
             }
-            for (Violation x : of.stream().limit(MOST_TOLD).toList()) {
-                out.printf(Locale.ROOT, "    at %.2f s: %s%n", x.atMs() / 1000, x.detail());
+            for (Violation violation :
+                    ruleViolations.stream().limit(MAX_PRINTED_VIOLATIONS).toList()) {
+                out.printf(Locale.ROOT, "    at %.2f s: %s%n", violation.atMs() / 1000, violation.detail());
             }
         }
     }
 
     private static void delete(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(p);
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(path);
             }
         }
     }
