--- a/src/main/resources/deckfall/soak/faults.c
+++ b/src/main/resources/deckfall/soak/faults.c
@@ -1,13 +1,14 @@
 /*
- * Preloaded into a gateway's process by the fault soak: makes system calls fail for short spells, as Linux documents
- * that they may. FAULTS holds the rules, separated by ';':
+ * Preloaded into a gateway process by the fault soak. Makes system calls fail for short windows of time, in ways that
+ * Linux documents. The environment variable FAULTS holds the rules, separated by ';':
  *
- *     CALL,ERRNO,SPELL_MS,PERIOD_MS,PHASE_MS[,SCOPE]   fails in the first SPELL_MS of each period
- *     clock,STEP_MS,AT_MS                              steps the wall clock once, AT_MS after the process's start
+ *     CALL,ERRNO,WINDOW_MS,PERIOD_MS,PHASE_MS[,SCOPE]  the call fails during the first WINDOW_MS of each period
+ *     clock,STEP_MS,AT_MS                              steps the wall clock once, AT_MS after the start of the process
  *
- * CALL is accept, socket, connect, read, write, wait, disk or config; ERRNO a name, or SHORT for transfers of a few
- * bytes. SCOPE is client or server, the side of the connection (both where it is left out). Only connections that
- * were accepted or connected and files below TMPDIR or named by NODE_CONFIG are touched.
+ * CALL is accept, socket, connect, read, write, wait, disk or config. ERRNO is the name of an error, or SHORT, which
+ * limits a transfer to a few bytes. SCOPE is client or server, the side of the connection; without it, both sides are
+ * affected. Faults only affect connections that were accepted or connected, files below TMPDIR, and the file that
+ * NODE_CONFIG names.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
@@ -25,9 +26,11 @@
 #include <time.h>
 #include <unistd.h>
 
+/* The calls that a rule can name, in the order of CALL_NAMES. */
 enum { ACCEPT, SOCKET, CONNECT, READ, WRITE, WAIT, DISK, CONFIG, CALLS };
-enum { OTHER, CLIENT, SERVER, FOLDER };
-enum { MOST_RULES = 32, MOST_FDS = 65536, SHORT = -1, SHORT_READ = 7 };
+/* Kinds of descriptors; as the scope of a rule, OTHER means any descriptor. */
+enum { OTHER, CLIENT, SERVER, TEMP_FILE };
+enum { MAX_RULES = 32, MAX_FDS = 65536, SHORT = -1 /* not an errno */, SHORT_READ_BYTES = 7 };
 
 static const char *const CALL_NAMES[] = {"accept", "socket", "connect", "read", "write", "wait", "disk", "config"};
 static const struct { const char *name; int value; } ERRORS[] = {
@@ -36,27 +39,27 @@
     {"ETIMEDOUT", ETIMEDOUT}, {"EHOSTUNREACH", EHOSTUNREACH}, {"ENOSPC", ENOSPC}, {"EIO", EIO}, {"EROFS", EROFS},
     {"SHORT", SHORT}};
 
-struct rule { int call, error, scope; long spell, period, phase; };
-static struct rule rules[MOST_RULES];
+struct rule { int call, error, scope; long window_ms, period_ms, phase_ms; };
+static struct rule rules[MAX_RULES];
 static int rule_count;
-static struct { long step, at; } clocks[MOST_RULES];
-static int clock_count;
-static unsigned char kinds[MOST_FDS];
-static long started;
-static const char *folder, *config;
+static struct { long step_ms, at_ms; } clock_steps[MAX_RULES];
+static int clock_step_count;
+static unsigned char fd_kinds[MAX_FDS];
+static long start_ms;
+static const char *temp_folder, *config_path;
 
-static int (*real_clock)(clockid_t, struct timespec *);
+static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
 static long monotonic_ms(void) {
     struct timespec t;
-    if (!real_clock) {
-        real_clock = dlsym(RTLD_NEXT, "clock_gettime");
+    if (!real_clock_gettime) {
+        real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     }
-    real_clock(CLOCK_MONOTONIC, &t);
+    real_clock_gettime(CLOCK_MONOTONIC, &t);
     return t.tv_sec * 1000L + t.tv_nsec / 1000000L;
 }
 
-static int call_of(const char *name) {
+static int parse_call(const char *name) {
     for (int i = 0; i < CALLS; i++) {
         if (!strcmp(name, CALL_NAMES[i])) {
             return i;
@@ -65,7 +68,7 @@
     return CALLS;
 }
 
-static int error_of(const char *name) {
+static int parse_error(const char *name) {
     for (unsigned i = 0; i < sizeof ERRORS / sizeof *ERRORS; i++) {
         if (!strcmp(name, ERRORS[i].name)) {
             return ERRORS[i].value;
@@ -74,50 +77,51 @@
     return EIO;
 }
 
-static void read_rule(const char *text) {
+static void parse_rule(const char *text) {
     char call[32], error[32], scope[32] = "";
-    long step, at;
+    long step_ms, at_ms;
     struct rule r;
-    if (sscanf(text, "clock,%ld,%ld", &step, &at) == 2 && clock_count < MOST_RULES) {
-        clocks[clock_count].step = step;
-        clocks[clock_count++].at = at;
-    } else if (sscanf(text, "%31[^,],%31[^,],%ld,%ld,%ld,%31s", call, error, &r.spell, &r.period, &r.phase, scope) >= 5
-               && rule_count < MOST_RULES) {
-        r.call = call_of(call);
-        r.error = error_of(error);
+    if (sscanf(text, "clock,%ld,%ld", &step_ms, &at_ms) == 2 && clock_step_count < MAX_RULES) {
+        clock_steps[clock_step_count].step_ms = step_ms;
+        clock_steps[clock_step_count++].at_ms = at_ms;
+    } else if (sscanf(text, "%31[^,],%31[^,],%ld,%ld,%ld,%31s", call, error, &r.window_ms, &r.period_ms, &r.phase_ms,
+                      scope) >= 5
+               && rule_count < MAX_RULES) {
+        r.call = parse_call(call);
+        r.error = parse_error(error);
         r.scope = !strcmp(scope, "client") ? CLIENT : !strcmp(scope, "server") ? SERVER : OTHER;
         rules[rule_count++] = r;
     }
 }
 
-__attribute__((constructor)) static void begin(void) {
-    started = monotonic_ms();
-    folder = getenv("TMPDIR");
-    config = getenv("NODE_CONFIG");
+__attribute__((constructor)) static void load_plan(void) {
+    start_ms = monotonic_ms();
+    temp_folder = getenv("TMPDIR");
+    config_path = getenv("NODE_CONFIG");
     const char *plan = getenv("FAULTS");
     char *copy = strdup(plan ? plan : "");
     for (char *rest = copy, *text; (text = strsep(&rest, ";"));) {
-        read_rule(text);
+        parse_rule(text);
     }
     free(copy);
 }
 
-static unsigned char kind_of(int fd) {
-    return fd >= 0 && fd < MOST_FDS ? kinds[fd] : OTHER;
+static unsigned char fd_kind(int fd) {
+    return fd >= 0 && fd < MAX_FDS ? fd_kinds[fd] : OTHER;
 }
 
 static void set_kind(int fd, unsigned char kind) {
-    if (fd >= 0 && fd < MOST_FDS) {
-        kinds[fd] = kind;
+    if (fd >= 0 && fd < MAX_FDS) {
+        fd_kinds[fd] = kind;
     }
 }
 
-/* The error with which this call fails now; 0 where it does not. */
-static int failing(int call, int kind) {
+/* The error that the call fails with at this moment, SHORT for a short transfer, or 0. */
+static int active_error(int call, int kind) {
     for (int i = 0; i < rule_count; i++) {
         const struct rule *r = &rules[i];
-        long in = (monotonic_ms() - started + r->phase) % r->period;
-        if (r->call == call && in < r->spell && (r->scope == OTHER || r->scope == kind)) {
+        long offset_ms = (monotonic_ms() - start_ms + r->phase_ms) % r->period_ms;
+        if (r->call == call && offset_ms < r->window_ms && (r->scope == OTHER || r->scope == kind)) {
             return r->error;
         }
     }
@@ -128,23 +132,26 @@
     static type (*real)(__VA_ARGS__); \
     if (!real) { real = dlsym(RTLD_NEXT, name); }
 #define FAIL_IF(call, kind) \
-    do { int e_ = failing(call, kind); if (e_ > 0) { errno = e_; return -1; } } while (0)
+    do { int error_ = active_error(call, kind); if (error_ > 0) { errno = error_; return -1; } } while (0)
 
-/* A connection that was aborted is taken from the queue first, as Linux does. */
+/*
+ * An injected ECONNABORTED leaves the connection in the accept queue, whereas Linux removes an aborted connection
+ * before it reports the error.
+ */
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(int, "accept", int, struct sockaddr *, socklen_t *)
     FAIL_IF(ACCEPT, CLIENT);
-    int got = real(fd, address, length);
-    set_kind(got, CLIENT);
-    return got;
+    int accepted = real(fd, address, length);
+    set_kind(accepted, CLIENT);
+    return accepted;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(int, "accept4", int, struct sockaddr *, socklen_t *, int)
     FAIL_IF(ACCEPT, CLIENT);
-    int got = real(fd, address, length, flags);
-    set_kind(got, CLIENT);
-    return got;
+    int accepted = real(fd, address, length, flags);
+    set_kind(accepted, CLIENT);
+    return accepted;
 }
 
 int socket(int domain, int type, int protocol) {
@@ -164,46 +171,46 @@
     return kind == CLIENT || kind == SERVER;
 }
 
-ssize_t read(int fd, void *to, size_t count) {
+ssize_t read(int fd, void *buffer, size_t count) {
     REAL(ssize_t, "read", int, void *, size_t)
-    int kind = kind_of(fd);
-    int error = is_connection(kind) ? failing(READ, kind) : 0;
+    int kind = fd_kind(fd);
+    int error = is_connection(kind) ? active_error(READ, kind) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
-    return real(fd, to, error == SHORT && count > SHORT_READ ? SHORT_READ : count);
+    return real(fd, buffer, error == SHORT && count > SHORT_READ_BYTES ? SHORT_READ_BYTES : count);
 }
 
-ssize_t write(int fd, const void *from, size_t count) {
+ssize_t write(int fd, const void *buffer, size_t count) {
     REAL(ssize_t, "write", int, const void *, size_t)
-    int kind = kind_of(fd);
-    int error = is_connection(kind) ? failing(WRITE, kind) : kind == FOLDER ? failing(DISK, kind) : 0;
+    int kind = fd_kind(fd);
+    int error = is_connection(kind) ? active_error(WRITE, kind) : kind == TEMP_FILE ? active_error(DISK, kind) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
-    return real(fd, from, error == SHORT && count > 1 ? count / 2 : count);
+    return real(fd, buffer, error == SHORT && count > 1 ? count / 2 : count);
 }
 
-ssize_t readv(int fd, const struct iovec *to, int count) {
+ssize_t readv(int fd, const struct iovec *vectors, int count) {
     REAL(ssize_t, "readv", int, const struct iovec *, int)
-    int kind = kind_of(fd);
+    int kind = fd_kind(fd);
     if (is_connection(kind)) {
         FAIL_IF(READ, kind);
     }
-    return real(fd, to, count);
+    return real(fd, vectors, count);
 }
 
-ssize_t writev(int fd, const struct iovec *from, int count) {
+ssize_t writev(int fd, const struct iovec *vectors, int count) {
     REAL(ssize_t, "writev", int, const struct iovec *, int)
-    int kind = kind_of(fd);
-    int error = is_connection(kind) ? failing(WRITE, kind) : 0;
+    int kind = fd_kind(fd);
+    int error = is_connection(kind) ? active_error(WRITE, kind) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
-    return real(fd, from, error == SHORT ? 1 : count);
+    return real(fd, vectors, error == SHORT ? 1 : count);
 }
 
 int close(int fd) {
@@ -212,27 +219,28 @@
     return real(fd);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(int, "epoll_wait", int, struct epoll_event *, int, int)
     FAIL_IF(WAIT, OTHER);
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
-static int in_folder(const char *path) {
-    return folder && *folder && !strncmp(path, folder, strlen(folder)) && (!config || strcmp(path, config));
+static int is_temp_file(const char *path) {
+    return temp_folder && *temp_folder && !strncmp(path, temp_folder, strlen(temp_folder))
+        && (!config_path || strcmp(path, config_path));
 }
 
 static int open_file(const char *name, const char *path, int flags, mode_t mode) {
     int (*real)(const char *, int, ...) = dlsym(RTLD_NEXT, name);
-    if (config && !strcmp(path, config)) {
+    if (config_path && !strcmp(path, config_path)) {
         FAIL_IF(CONFIG, OTHER);
     }
-    int ours = in_folder(path);
-    if (ours) {
-        FAIL_IF(DISK, FOLDER);
+    int is_temp = is_temp_file(path);
+    if (is_temp) {
+        FAIL_IF(DISK, TEMP_FILE);
     }
     int fd = real(path, flags, mode);
-    set_kind(fd, ours ? FOLDER : OTHER);
+    set_kind(fd, is_temp ? TEMP_FILE : OTHER);
     return fd;
 }
 
@@ -249,15 +257,15 @@
 
 int rename(const char *from, const char *to) {
     REAL(int, "rename", const char *, const char *)
-    if (in_folder(to)) {
-        FAIL_IF(DISK, FOLDER);
+    if (is_temp_file(to)) {
+        FAIL_IF(DISK, TEMP_FILE);
     }
     return real(from, to);
 }
 
 struct dirent64 *readdir64(DIR *d) {
     REAL(struct dirent64 *, "readdir64", DIR *)
-    int error = failing(DISK, FOLDER);
+    int error = active_error(DISK, TEMP_FILE);
     if (error > 0) {
         errno = error;
         return NULL;
@@ -267,7 +275,7 @@
 
 struct dirent *readdir(DIR *d) {
     REAL(struct dirent *, "readdir", DIR *)
-    int error = failing(DISK, FOLDER);
+    int error = active_error(DISK, TEMP_FILE);
     if (error > 0) {
         errno = error;
         return NULL;
@@ -275,30 +283,31 @@
     return real(d);
 }
 
-static long step_ms(void) {
-    long since = monotonic_ms() - started, sum = 0;
-    for (int i = 0; i < clock_count; i++) {
-        sum += since >= clocks[i].at ? clocks[i].step : 0;
+/* The sum of all steps of the wall clock so far. */
+static long clock_offset_ms(void) {
+    long elapsed_ms = monotonic_ms() - start_ms, offset_ms = 0;
+    for (int i = 0; i < clock_step_count; i++) {
+        offset_ms += elapsed_ms >= clock_steps[i].at_ms ? clock_steps[i].step_ms : 0;
     }
-    return sum;
+    return offset_ms;
 }
 
 int clock_gettime(clockid_t id, struct timespec *t) {
-    if (!real_clock) {
-        real_clock = dlsym(RTLD_NEXT, "clock_gettime");
+    if (!real_clock_gettime) {
+        real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     }
-    int done = real_clock(id, t);
-    if (id == CLOCK_REALTIME && clock_count && !done) {
-        t->tv_sec += step_ms() / 1000;
+    int result = real_clock_gettime(id, t);
+    if (id == CLOCK_REALTIME && clock_step_count && !result) {
+        t->tv_sec += clock_offset_ms() / 1000;
     }
-    return done;
+    return result;
 }
 
 int gettimeofday(struct timeval *t, void *zone) {
     REAL(int, "gettimeofday", struct timeval *, void *)
-    int done = real(t, zone);
-    if (clock_count && !done) {
-        t->tv_sec += step_ms() / 1000;
+    int result = real(t, zone);
+    if (clock_step_count && !result) {
+        t->tv_sec += clock_offset_ms() / 1000;
     }
-    return done;
+    return result;
 }
