--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -17,21 +17,24 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** One run of the soak: starts the gateways, lets load and faults go on side by side, and gives the verdict. */
+/** One run of the soak: starts the gateways, runs load and faults concurrently, and reports the result. */
 final class SoakRun {
     private static final int EVENT_LOOP_THREADS = 3;
     private static final int SEAT_SERVERS = 6;
-    private static final double SERVER_FAULT_SHARE = 0.11; // share of requests that a server does not simply answer
+    private static final int RELOAD_PERCENT = 25; // of the process events
+    private static final int KILL_PERCENT = 10;
+    private static final int MAX_OVERLAP_MS = 4000; // while an old and a new process both serve
+    private static final double SERVER_FAULT_SHARE = 0.11; // of the requests, which don't get a plain response
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long KILL_AFTER_DEADLINE_MS = 700; // from SIGTERM, beyond the longest deadline
-    private static final int MIN_BALANCER_DELAY_MS = 200; // until the front sends nothing new to a gateway that ends
+    private static final int MIN_BALANCER_DELAY_MS = 200; // until new connections avoid a gateway that stops
     private static final int MAX_BALANCER_DELAY_MS = 400;
     private static final long POLL_INTERVAL_MS = 30;
     private static final long WATCH_INTERVAL_MS = 100;
     private static final long LAG_PROBE_INTERVAL_MS = 10;
-    private static final long KILL_GRACE_MS = 50; // of a SIGKILL, until the process is gone
+    private static final long KILL_GRACE_MS = 50; // from SIGKILL until the process is gone
 
-    /** What came of a run. */
+    /** The result of a run. */
     record RunResult(
             long seed,
             int requestsSent,
@@ -61,9 +64,10 @@
         this.random = new Random(options.seed());
     }
 
+    /** Plays the run and returns its result once all processes have ended. */
     RunResult run() throws IOException, InterruptedException {
         List<Thread> scripts = new ArrayList<>();
-        Thread shutdownHook = new Thread(this::killAll); // also where the soak itself is ended
+        Thread shutdownHook = new Thread(this::killAll); // also if the soak itself is terminated
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             startSimulatedServices();
@@ -88,9 +92,9 @@
             eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
         int processes = gateways.stream().mapToInt(g -> g.processes.size()).sum();
-        List<Violation> violations = checker.violations();
+        List<Violation> violations = checker.findViolations();
         return new RunResult(
-                options.seed(), checker.recordSent(), processes, checker.countEnds(), checker.maxLagMs(), violations);
+                options.seed(), checker.requestsSent(), processes, checker.countEnds(), checker.maxLagMs(), violations);
     }
 
     private void killAll() {
@@ -151,7 +155,10 @@
         }
     }
 
-    /** False where the process is not ready in time, which breaks a rule, or the run has ended. */
+    /**
+     * Waits until a process is ready. Returns false if it exits, if the run ends, or if it is not ready in time, which
+     * breaks a rule.
+     */
     private boolean awaitReady(GatewayUnderTest gateway, GatewayProcess process) throws InterruptedException {
         double endMs = RuleChecker.nowMs() + READY_TIMEOUT_MS;
         while (running && process.isAlive() && RuleChecker.nowMs() < endMs) {
@@ -166,8 +173,7 @@
         return false;
     }
 
-    // ---- what happens to processes
-
+    /** A sequence of events that runs on a thread of its own. */
     private interface Script {
         void run(Random random) throws IOException, InterruptedException;
     }
@@ -190,6 +196,7 @@
         return startScript(r -> runProcessEvents(gateways.get(g), loadGenerators.get(g), r), seed);
     }
 
+    /** Sleeps for a time, or until the run ends. */
     private void pause(double durationMs) throws InterruptedException {
         double endMs = RuleChecker.nowMs() + durationMs;
         while (running && RuleChecker.nowMs() < endMs) {
@@ -205,9 +212,9 @@
                 loadGenerator.openIdleConnections(options.sockets());
             }
             int event = scriptRandom.nextInt(100);
-            if (event < 25) {
+            if (event < RELOAD_PERCENT) {
                 reloadConfig(gateway, scriptRandom);
-            } else if (event < 35) {
+            } else if (event < RELOAD_PERCENT + KILL_PERCENT) {
                 killAndRestart(gateway, loadGenerator, scriptRandom);
             } else if (gateway.inheritsListener) {
                 replaceProcess(gateway, scriptRandom);
@@ -222,7 +229,7 @@
         return gateway.processes.get(gateway.processes.size() - 1);
     }
 
-    /** New configurations in a row, of which some are being written when the signal comes. */
+    /** Reloads several new configurations in a row; some reloads happen while the file is only half written. */
     private void reloadConfig(GatewayUnderTest gateway, Random scriptRandom) throws IOException, InterruptedException {
         GatewayProcess process = newestProcess(gateway);
         int count = 1 + scriptRandom.nextInt(3);
@@ -257,7 +264,7 @@
         }
     }
 
-    /** A planned restart at the gateway's own listener. */
+    /** Restarts a gateway whose processes open their own listener; it does not serve in between. */
     private void restart(GatewayUnderTest gateway, LoadGenerator loadGenerator, Random scriptRandom)
             throws IOException, InterruptedException {
         GatewayProcess process = newestProcess(gateway);
@@ -268,7 +275,7 @@
         startAndResumeConnections(gateway, loadGenerator, scriptRandom);
     }
 
-    /** A second process begins at the shared listener, both serve for a while, and the first one ends. */
+    /** Starts a second process on the inherited listener, lets both serve for some time, and stops the first one. */
     private void replaceProcess(GatewayUnderTest gateway, Random scriptRandom)
             throws IOException, InterruptedException {
         GatewayProcess oldProcess = newestProcess(gateway);
@@ -276,11 +283,11 @@
         if (!awaitReady(gateway, newProcess)) {
             return;
         }
-        pause(scriptRandom.nextInt(4000));
+        pause(scriptRandom.nextInt(MAX_OVERLAP_MS));
         awaitEndOrKill(oldProcess, terminate(oldProcess, scriptRandom));
     }
 
-    /** SIGTERM, and sometimes more signals behind it. */
+    /** Sends SIGTERM, sometimes with other signals before or after it; returns the time of the SIGTERM. */
     private double terminate(GatewayProcess process, Random scriptRandom) throws IOException, InterruptedException {
         process.endRequested = true;
         if (scriptRandom.nextInt(4) == 0 && process.isReachable()) {
@@ -294,6 +301,7 @@
         return signalledAtMs;
     }
 
+    /** Waits for a terminated process to exit, and kills it after the longest deadline and a grace period. */
     private void awaitEndOrKill(GatewayProcess process, double signalledAtMs) throws IOException, InterruptedException {
         double killAtMs = signalledAtMs + LoadGenerator.longestDeadlineMs() + KILL_AFTER_DEADLINE_MS;
         while (process.isAlive() && RuleChecker.nowMs() < killAtMs) {
@@ -307,6 +315,7 @@
         }
     }
 
+    /** Checks for crashes and for too many sockets, and records the scheduling delay of the gateways' event loops. */
     private void watchProcesses() throws InterruptedException {
         List<GatewayProcess> reported = new ArrayList<>();
         while (running) {
@@ -315,7 +324,8 @@
                     if (!process.isAlive() && !process.endRequested && !reported.contains(process)) {
                         reported.add(process);
                         checker.recordViolation(
-                                Rule.CRASH, "gateway " + gateway.number + " ended by itself, faults " + process.faults);
+                                Rule.CRASH,
+                                "gateway " + gateway.number + " exited unexpectedly, faults " + process.faults);
                     }
                 }
                 gateway.processes.stream()
@@ -331,7 +341,7 @@
         }
     }
 
-    /** Servers hang, drain, go and come back; discovery falls silent. */
+    /** Makes servers hang, drain, disappear and return, and discovery stop responding. */
     private void runServerEvents(Random scriptRandom) throws InterruptedException {
         int restarts = 0;
         while (running) {
@@ -352,8 +362,6 @@
         }
     }
 
-    // ---- configuration
-
     private String configJson(GatewayUnderTest gateway, int discoveryIndex) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode root = json.createObjectNode()
