--- a/src/main/java/deckfall/soak/LoadGenerator.java
+++ b/src/main/java/deckfall/soak/LoadGenerator.java
@@ -29,24 +29,26 @@
 import java.util.stream.Collectors;
 
 /**
- * The clients of one gateway, on one event loop: requests at random times, on connections that are kept or new; some
- * leave early, some write slowly, some send several requests at once, and a crowd may hold idle connections.
+ * Simulates the clients of one gateway on one event loop. Requests arrive at exponentially distributed intervals, on
+ * new or reused connections. Some clients disconnect early, some write a request in two parts, some pipeline several
+ * requests, and many may hold idle connections.
  */
 final class LoadGenerator {
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
-    private static final double REUSE_SHARE = 0.5; // of the requests go out on a connection that was used before
+    private static final double REUSE_SHARE = 0.5; // of the requests, if an idle connection is available
     private static final double DISCONNECT_SHARE = 0.08;
     private static final int MAX_DISCONNECT_DELAY_MS = 20;
     private static final double SPLIT_WRITE_SHARE = 0.03;
+    private static final int MAX_SPLIT_DELAY_MS = 60; // between the two parts
     private static final double PIPELINE_SHARE = 0.01;
     private static final int PIPELINE_DEPTH = 4;
     private static final double BOOKING_SHARE = 0.25;
     private static final long LOOKUP_DEADLINE_MS = 400;
     private static final long BOOKING_DEADLINE_MS = 600;
-    private static final long LOST_AFTER_DEADLINE_MS = 500; // beyond the deadline an answer no longer counts
+    private static final long LOST_AFTER_DEADLINE_MS = 500; // a response that comes later no longer counts
     private static final double NEGLIGIBLE_LAG_MS = 20;
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final long IDLE_CONNECTION_LIFETIME_MS = 1500;
@@ -59,7 +61,7 @@
     private final double meanIntervalMs;
     private final int maxIdleConnections;
     private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
-    private volatile boolean newConnectionsAllowed = true; // whether the front sends new connections here
+    private volatile boolean newConnectionsAllowed = true; // false while the load balancer excludes the gateway
     private volatile boolean running = true;
     private int requestCount;
 
@@ -80,31 +82,32 @@
         this.maxIdleConnections = maxIdleConnections;
     }
 
-    /** The longest deadline that a request of these clients has. */
+    /** The longest deadline of a request. */
     static long longestDeadlineMs() {
         return Math.max(LOOKUP_DEADLINE_MS, BOOKING_DEADLINE_MS);
     }
 
-    /** How long after the last request its end is known. */
+    /** The time after the last request until every request has ended. */
     static long settleTimeMs() {
         return longestDeadlineMs() + LOST_AFTER_DEADLINE_MS + CONNECT_TIMEOUT_MS;
     }
 
+    /** Starts sending requests. */
     void start() {
         eventLoop.execute(this::sendNext);
     }
 
-    /** No further requests; what is out is still judged. */
+    /** Stops sending requests; those in flight are still checked. */
     void stop() {
         running = false;
     }
 
-    /** Whether new connections may be opened; those that are open are used in any case. */
+    /** Sets whether new connections may be opened; open connections remain in use either way. */
     void allowNewConnections(boolean allowed) {
         newConnectionsAllowed = allowed;
     }
 
-    /** Opens connections that ask for nothing, and closes them after a while. */
+    /** Opens connections that send no request, and closes them after {@link #IDLE_CONNECTION_LIFETIME_MS}. */
     void openIdleConnections(int count) {
         eventLoop.execute(() -> {
             for (int i = 0; i < count; i++) {
@@ -179,7 +182,7 @@
                 + (request.booking ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
     }
 
-    /** Notes whether anything of the answer to the oldest request has come. */
+    /** Records whether the response to the oldest pending request has started to arrive. */
     private static final class ResponseStartRecorder extends ChannelInboundHandlerAdapter {
         private final Connection connection;
 
@@ -194,17 +197,18 @@
         }
     }
 
+    /** One client connection and the requests that wait for a response on it. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final ArrayDeque<Request> pending = new ArrayDeque<>();
         private Channel channel;
-        private boolean hasReceivedResponse; // an answer has come on it
-        private boolean responseStarted; // some of the next answer has come
-        private boolean closedByClient; // by the client itself
-        private boolean batchPartlyAnswered; // some requests that were sent at once have been answered
+        private boolean hasReceivedResponse; // whether it has received a complete response
+        private boolean responseStarted; // whether bytes of the next response have arrived
+        private boolean closedByClient;
+        private boolean batchPartlyAnswered; // some of several pipelined requests have a response
 
         void send(List<Request> batch) {
             if (!channel.isActive()) {
-                return; // its end is being told: nothing was sent
+                return; // closed already, so that nothing is sent and nothing recorded
             }
             responseStarted = false;
             batchPartlyAnswered = false;
@@ -238,7 +242,7 @@
                         request.fullyWritten = true;
                         channel.writeAndFlush(asciiBuffer(text.substring(splitIndex)));
                     },
-                    random.nextInt(60),
+                    random.nextInt(MAX_SPLIT_DELAY_MS),
                     TimeUnit.MILLISECONDS);
         }
 
@@ -264,7 +268,8 @@
                 request.lagAllowanceUsed = true;
                 eventLoop.schedule(() -> checkOverdue(request), (long) lagMs, TimeUnit.MILLISECONDS);
             } else {
-                checker.recordLost(request, "no whole answer " + LOST_AFTER_DEADLINE_MS + " ms after its deadline");
+                checker.recordLost(
+                        request, "no complete response " + LOST_AFTER_DEADLINE_MS + " ms after its deadline");
                 channel.close();
             }
         }
@@ -272,13 +277,13 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (response.decoderResult().cause() instanceof PrematureChannelClosureException) {
-                responseStarted = true; // the end of the connection follows
+                responseStarted = true; // channelInactive follows
                 return;
             }
             Request request = pending.poll();
             if (request == null || response.decoderResult().isFailure()) {
                 checker.recordViolation(
-                        RuleChecker.Rule.WRONG_ANSWER, "an answer that nobody asked for, or unreadable: " + response);
+                        RuleChecker.Rule.WRONG_ANSWER, "unsolicited or unparseable response: " + response);
                 ctx.close();
                 return;
             }
@@ -312,7 +317,7 @@
             }
         }
 
-        /** The gateway ended the connection with this request on it. */
+        /** The gateway closed the connection while this request was pending. */
         private void requestClosedByGateway(Request request) {
             if (request.end != null) {
                 return;
@@ -320,7 +325,7 @@
             if (checker.isExcused(request)) {
                 checker.recordEnd(request, End.KILLED);
             } else if (!request.fullyWritten) {
-                checker.recordEnd(request, End.NEVER_TAKEN); // its last byte had not been written
+                checker.recordEnd(request, End.NEVER_TAKEN); // closed before the request was fully written
             } else if (responseStarted && request.responseTruncated) {
                 checker.recordEnd(request, End.CUT_SHORT);
             } else if (hasReceivedResponse && !responseStarted && !batchPartlyAnswered && !request.resent) {
@@ -329,13 +334,16 @@
             } else {
                 checker.recordLost(
                         request,
-                        "closed with " + (responseStarted ? "a part" : "no byte") + " of an answer, on a "
+                        "closed with " + (responseStarted ? "a part" : "no byte") + " of a response, on a "
                                 + (batchPartlyAnswered ? "pipelined" : hasReceivedResponse ? "used" : "new")
                                 + " connection");
             }
         }
 
-        /** The close crossed the request: it is sent once more, and is nobody's where no connection comes up. */
+        /**
+         * Sends a request again that crossed the gateway's close of an idle connection. No rule is broken if the new
+         * connection can't be opened.
+         */
         private void resend(Request request) {
             Connection connection = new Connection();
             connect(connection, () -> connection.send(List.of(request)));
--- a/src/main/java/deckfall/soak/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/soak/SimulatedDiscovery.java
@@ -28,14 +28,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for discovery at two addresses, between which a configuration may move a gateway: whole lists, watches
- * that tell changes, and spells of silence. All of it runs on one event loop.
+ * Simulates discovery at two addresses, between which a configuration may move a gateway. It serves full lists and
+ * long polls for changes, and may stop responding for some time. All state is confined to one event loop.
  */
 final class SimulatedDiscovery {
     private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int ADDRESSES = 2;
     private static final long POLL_INTERVAL_MS = 20;
 
-    /** A seat server as the list tells it. */
+    /** A seat server as it appears in the list. */
     private record Entry(String id, String address, String state, long startedMs) {
         String json() {
             return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
@@ -45,13 +46,13 @@
 
     private final EventLoop eventLoop;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final List<Entry> changes = new ArrayList<>(); // by version
+    private final List<Entry> changes = new ArrayList<>(); // the index is the version before the change
     private final List<Channel> listeners = new ArrayList<>();
     private double unresponsiveUntilMs;
 
     SimulatedDiscovery(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
-        for (int i = 0; i < 2; i++) {
+        for (int i = 0; i < ADDRESSES; i++) {
             listeners.add(new ServerBootstrap()
                     .group(eventLoop)
                     .channel(NioServerSocketChannel.class)
@@ -71,12 +72,15 @@
         }
     }
 
-    /** One of the two addresses. */
+    /** One of the two addresses, by index 0 or 1. */
     String address(int index) {
         return "127.0.0.1:" + ((InetSocketAddress) listeners.get(index).localAddress()).getPort();
     }
 
-    /** Tells of a server's state, {@code ready}, {@code draining} or {@code gone}; 0 means started long ago. */
+    /**
+     * Publishes a server's state, {@code ready}, {@code draining} or {@code gone}. A {@code startedMs} of 0 means that
+     * the server started long ago.
+     */
     void publish(String id, String address, String state, long startedMs) {
         eventLoop
                 .submit(() -> {
@@ -90,7 +94,7 @@
                 .syncUninterruptibly();
     }
 
-    /** The whole list, as a configuration names it. */
+    /** The full list, in the JSON format that a configuration contains. */
     String fullList() {
         return eventLoop
                 .submit(() -> listJson(true, new ArrayList<>(entries.values())))
@@ -98,11 +102,12 @@
                 .getNow();
     }
 
+    /** Delays all responses until the duration has passed. */
     void stopResponding(double durationMs) {
         eventLoop.execute(() -> unresponsiveUntilMs = RuleChecker.nowMs() + durationMs);
     }
 
-    /** Each server once, in its last state. */
+    /** The list as JSON, with each server once and in its latest state. */
     private String listJson(boolean full, List<Entry> listed) {
         Map<String, String> jsonById = new LinkedHashMap<>();
         listed.forEach(entry -> jsonById.put(entry.id, entry.json()));
@@ -110,6 +115,7 @@
                 + String.join(",", jsonById.values()) + "]}";
     }
 
+    /** Serves {@code from} and {@code hold_ms} of one connection. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -123,6 +129,7 @@
             respondWhenChanged(ctx, fromVersion, RuleChecker.nowMs() + holdMs);
         }
 
+        /** Responds with the changes since a version, or with the full list if the version is unknown. */
         private void respondWhenChanged(ChannelHandlerContext ctx, int fromVersion, double holdUntilMs) {
             if (!ctx.channel().isActive()) {
                 return;
--- a/src/main/java/deckfall/soak/SimulatedServers.java
+++ b/src/main/java/deckfall/soak/SimulatedServers.java
@@ -25,23 +25,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stand-ins for seat servers, of which each may answer a request in any of the ways that the protocol allows. */
+/** Simulates seat servers, each of which may respond to a request in any way that the protocol allows. */
 final class SimulatedServers {
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MIN_SERVICE_MS = 5;
     private static final int MAX_SERVICE_MS = 50;
-    private static final int LONG_BODY_BYTES = 100 * 1024; // passed on as it comes
+    private static final int LONG_BODY_BYTES = 100 * 1024; // long enough for the gateway to stream it
     private static final double LONG_BODY_SHARE = 0.01;
 
-    /** How a request is answered. */
+    /** How a server responds to a request. */
     private enum ResponseMode {
         COMPLETE,
         ERROR,
         RESET,
         TRUNCATED,
         NO_RESPONSE,
+        /** With the header that says that the request was not executed. */
         REJECTED,
+        /** The same response is sent twice. */
         DUPLICATED,
+        /** Without a length; the close of the connection ends the body. */
         CLOSE_DELIMITED,
         CLOSE_DELIMITED_RESET
     }
@@ -52,7 +55,7 @@
     private final List<Channel> listeners = new ArrayList<>();
     private final double[] hangsUntilMs;
 
-    /** Servers at ports of the system's choice on loopback. */
+    /** Starts servers on loopback, at ports that the operating system chooses. */
     SimulatedServers(EventLoopGroup group, RuleChecker checker, int count, double faultShare) {
         this.checker = checker;
         this.faultShare = faultShare;
@@ -79,15 +82,17 @@
         }
     }
 
+    /** The address of a server, by its index. */
     String address(int server) {
         return "127.0.0.1:" + ((InetSocketAddress) listeners.get(server).localAddress()).getPort();
     }
 
+    /** The number of servers. */
     int count() {
         return listeners.size();
     }
 
-    /** For so long the server takes requests and answers none. */
+    /** Makes a server accept requests without responding, for some time. */
     void hang(int server, double durationMs) {
         hangsUntilMs[server] = RuleChecker.nowMs() + durationMs;
     }
@@ -101,7 +106,7 @@
         return random.nextDouble() < faultShare ? modes[1 + random.nextInt(modes.length - 1)] : ResponseMode.COMPLETE;
     }
 
-    /** Notes the moment in which an attempt begins to arrive. */
+    /** Records when the head of an attempt arrives. */
     private final class AttemptRecorder extends ChannelInboundHandlerAdapter {
         private final int server;
 
@@ -126,6 +131,7 @@
         }
     }
 
+    /** Responds to complete requests. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int server;
 
@@ -181,7 +187,7 @@
                     checker.recordCompleteBody(body);
                     ctx.writeAndFlush(asciiBuffer(head + body));
                 }
-                default -> {} // silent
+                default -> {} // NO_RESPONSE; REJECTED was sent without a delay
             }
         }
 
