--- a/src/main/java/deckfall/soak/FaultLibrary.java
+++ b/src/main/java/deckfall/soak/FaultLibrary.java
@@ -7,9 +7,11 @@
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.TimeUnit;
 
-/** The library that is preloaded into a gateway so that its system calls fail; compiled by the system's compiler. */
+/** The library, preloaded into a gateway process, that makes system calls fail; compiled by the system's {@code cc}. */
 final class FaultLibrary {
+    /** The environment variable that holds the fault plan of a process. */
     static final String PLAN_VARIABLE = "FAULTS";
+
     private static final String SOURCE_FILE = "faults.c";
     private static final long COMPILE_TIMEOUT_SECONDS = 60;
 
@@ -19,7 +21,11 @@
         this.path = path;
     }
 
-    /** Compiles the library into a folder; without a C compiler this is an {@link IOException}. */
+    /**
+     * Compiles the library into a folder.
+     *
+     * @throws IOException if there is no C compiler or it fails
+     */
     static FaultLibrary compile(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE_FILE);
         try (InputStream in = FaultLibrary.class.getResourceAsStream(SOURCE_FILE)) {
@@ -33,11 +39,12 @@
                 .start();
         if (!compiler.waitFor(COMPILE_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             throw new IOException(
-                    "cc can't compile " + SOURCE_FILE + ": " + Files.readString(folder.resolve("cc.log")));
+                    "cc failed to compile " + SOURCE_FILE + ": " + Files.readString(folder.resolve("cc.log")));
         }
         return new FaultLibrary(library);
     }
 
+    /** The compiled library. */
     Path path() {
         return path;
     }
--- a/src/main/java/deckfall/soak/FaultPlan.java
+++ b/src/main/java/deckfall/soak/FaultPlan.java
@@ -4,13 +4,17 @@
 import java.util.List;
 import java.util.Random;
 
-/** Which system calls of one gateway process fail, when and how, in the form that the preloaded library reads. */
+/** Draws which system calls of one gateway process fail, when and how, in the format that {@code faults.c} parses. */
 final class FaultPlan {
     private static final int MAX_RULES = 5;
     private static final long HOUR_MS = 3_600_000;
-    private static final long MAX_CLOCK_STEP_DELAY_MS = 20_000; // of the wall clock, from the process's start
+    private static final long SMALL_CLOCK_STEP_MS = 5000;
+    private static final long MAX_CLOCK_STEP_DELAY_MS = 20_000; // after the start of the process
 
-    /** A kind of failure with the range of its spells; {@code errors} are drawn from. */
+    /**
+     * A kind of failure: the call that fails, the errors to draw from, the range of the failure window's length, the
+     * minimum pause between two windows, and the side of the connection (empty for both).
+     */
     private record FaultKind(
             String call, List<String> errors, int minWindowMs, int maxWindowMs, int minPauseMs, String scope) {}
 
@@ -32,7 +36,7 @@
 
     private FaultPlan() {}
 
-    /** A drawn plan; some processes have none. */
+    /** Draws a plan, which may be empty. */
     static String draw(Random random) {
         List<String> rules = new ArrayList<>();
         int ruleCount = random.nextInt(MAX_RULES + 1);
@@ -40,7 +44,7 @@
             rules.add(drawRule(FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size())), random));
         }
         if (random.nextInt(3) == 0) {
-            long stepMs = (random.nextBoolean() ? 1 : -1) * (random.nextBoolean() ? HOUR_MS : 5000);
+            long stepMs = (random.nextBoolean() ? 1 : -1) * (random.nextBoolean() ? HOUR_MS : SMALL_CLOCK_STEP_MS);
             rules.add("clock," + stepMs + "," + random.nextInt((int) MAX_CLOCK_STEP_DELAY_MS));
         }
         return String.join(";", rules);
--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -22,11 +22,15 @@
 import java.util.stream.Stream;
 
 /**
- * One gateway and the processes that serve as it: at a listener of its own, or at one that this program holds and each
- * process inherits. All processes end with {@link #close}.
+ * One gateway and its processes. Each process either opens the listening socket itself, or inherits one that a helper
+ * process holds, so that two processes can serve at once. {@link #close} kills all of them.
  */
 final class GatewayUnderTest implements AutoCloseable {
-    /** Holds a listener; for each line, of tab-separated variables, starts the program on it as descriptor 0. */
+    /**
+     * Perl program that holds a listening socket and prints its port. For each input line, made of a log file and
+     * environment variables separated by tabs, it starts the gateway with the socket as descriptor 0 and prints the
+     * process id.
+     */
     private static final String LISTENER_HOLDER = """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(L, PF_INET, SOCK_STREAM, 0) && setsockopt(L, SOL_SOCKET, SO_REUSEADDR, 1)
@@ -45,21 +49,22 @@
             }
             """;
 
-    private static final int FIRST_PORT = 12_000; // below those that the system gives to outgoing connections
+    private static final int FIRST_PORT = 12_000; // below the ephemeral ports of the system
     private static final int PORT_MASK = 0x3fff;
+    private static final int PORTS_PER_TEST_PROCESS = 64;
     private static final AtomicInteger NEXT_PORT =
-            new AtomicInteger((int) ProcessHandle.current().pid() * 64);
-    private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop"; // a thread's name begins so
+            new AtomicInteger((int) ProcessHandle.current().pid() * PORTS_PER_TEST_PROCESS);
+    private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
     private static final double NANOS_PER_MS = 1e6;
-    private static final int CALL_TIMEOUT_MS = 500; // to the operator's address
+    private static final int CALL_TIMEOUT_MS = 500; // of a call to the operator's address or of kill(1)
 
-    /** One process, with what has been asked of it. */
+    /** One process of the gateway. */
     static final class GatewayProcess {
         final ProcessHandle handle;
         final InetSocketAddress operatorAddress;
         final String faults;
         private final Map<Path, Long> runDelaysNanos = new HashMap<>();
-        volatile boolean endRequested;
+        volatile boolean endRequested; // whether its exit is expected
 
         GatewayProcess(ProcessHandle handle, InetSocketAddress operatorAddress, String faults) {
             this.handle = handle;
@@ -71,16 +76,17 @@
             return handle.isAlive();
         }
 
-        /** Whether it says that it takes clients. */
+        /** Whether the process reports that it accepts clients. */
         boolean isReady() {
             return "ACK".equals(callOperator("health"));
         }
 
-        /** Whether it can be asked at all. */
+        /** Whether the process responds at its operator's address. */
         boolean isReachable() {
             return callOperator("health") != null;
         }
 
+        /** The response of the operator's address; null if there is none. */
         private String callOperator(String line) {
             try (Socket socket = new Socket()) {
                 socket.connect(operatorAddress, CALL_TIMEOUT_MS);
@@ -93,6 +99,7 @@
             }
         }
 
+        /** Sends a signal, such as {@code TERM}. */
         void signal(String name) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + name, Long.toString(handle.pid()))
                     .start()
@@ -100,8 +107,8 @@
         }
 
         /**
-         * For how long an event loop of the process was ready to run and did not, since the last call: the machine's
-         * delay, which the kernel counts for each thread.
+         * The longest time that an event loop thread was runnable but not scheduled since the last call, as the kernel
+         * counts it for each thread.
          */
         double runDelayMs() {
             double maxMs = 0;
@@ -110,7 +117,7 @@
                     maxMs = Math.max(maxMs, runDelayMs(thread));
                 }
             } catch (IOException | UncheckedIOException e) {
-                return 0; // it has ended
+                return 0; // the process has ended
             }
             return maxMs;
         }
@@ -125,12 +132,12 @@
             return previous == null ? 0 : (nanos - previous) / NANOS_PER_MS;
         }
 
-        /** How many of its descriptors are sockets. */
+        /** The number of sockets that the process has open. */
         long countSockets() {
             try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + handle.pid() + "/fd"))) {
                 return descriptors.filter(GatewayProcess::isSocket).count();
             } catch (IOException | UncheckedIOException e) {
-                return 0; // it has ended
+                return 0; // the process has ended
             }
         }
 
@@ -138,7 +145,7 @@
             try {
                 return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
             } catch (IOException e) {
-                return false; // closed meanwhile
+                return false; // closed in the meantime
             }
         }
     }
@@ -150,7 +157,7 @@
     final List<GatewayProcess> processes = new CopyOnWriteArrayList<>();
     private final List<String> command;
     private final FaultLibrary faultLibrary;
-    private final Process listenerHolder; // of the listener; null where each process has its own
+    private final Process listenerHolder; // null if each process opens its own listener
     private BufferedReader holderOutput;
     private OutputStream holderInput;
     private final int port;
@@ -185,7 +192,7 @@
         return process;
     }
 
-    /** The program's command with the limit on descriptors that the platform sets. */
+    /** The gateway's command line under the limit on open descriptors. */
     private List<String> commandWithDescriptorLimit() {
         return Stream.concat(
                         Stream.of("/bin/sh", "-c", "ulimit -n " + maxSockets + "; exec \"$0\" \"$@\""),
@@ -193,28 +200,31 @@
                 .toList();
     }
 
-    /** A port that no outgoing connection is given, as it has to stay free while a process is replaced. */
+    /**
+     * A free port outside the ephemeral range: an outgoing connection must not take it while a process is restarted.
+     */
     static int freePort() throws IOException {
         while (true) {
             int port = FIRST_PORT + (NEXT_PORT.getAndIncrement() & PORT_MASK);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (BindException e) {
-                // in use; the next one may be free
+                // in use; tries the next port
             }
         }
     }
 
+    /** The address at which the gateway serves clients. */
     InetSocketAddress address() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Replaces the configuration that processes read from here on. */
+    /** Overwrites the configuration file that the processes read. */
     void configure(String json) throws IOException {
         Files.writeString(folder.resolve("config.json"), json);
     }
 
-    /** Starts one more process. */
+    /** Starts another process with a fault plan. */
     GatewayProcess start(String faults) throws IOException {
         int operatorPort = freePort();
         Path log = folder.resolve("log." + ++startedCount);
@@ -252,7 +262,7 @@
         return ProcessHandle.of(Long.parseLong(holderOutput.readLine())).orElseThrow();
     }
 
-    /** Sockets that all its processes hold together. */
+    /** The number of sockets that all processes of the gateway have open. */
     long countSockets() {
         return processes.stream()
                 .filter(GatewayProcess::isAlive)
