--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -19,18 +19,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line of {@code soak}: runs of one seed after another. The exit code is 1 where a rule was broken. */
+/** The {@code soak} command: plays one run for each of several seeds. The exit code is 1 if a rule was broken. */
 @Command(
         name = "soak",
-        description = "Real gateways under faults that overlap, judged by the rules of the service.",
+        description = "Runs real gateway processes under overlapping faults and checks every request.",
         mixinStandardHelpOptions = true)
 public final class SoakCommand implements Callable<Integer> {
-    private static final int MAX_PRINTED_VIOLATIONS = 5; // of each rule that one run broke
+    private static final int MAX_PRINTED_VIOLATIONS = 5; // of each rule, per run
     private static final int MIN_GATEWAYS = 6;
     private static final int MAX_GATEWAYS = 18;
-    private static final int CROWD_SEED_INTERVAL = 4; // seeds
-    private static final int FEW_SOCKETS_SEED_INTERVAL = 3;
-    /** As the deploy file starts it, but for the class archive, which the platform's build makes. */
+    private static final int CROWD_SEED_INTERVAL = 4; // every fourth seed
+    private static final int FEW_SOCKETS_SEED_INTERVAL = 3; // every third seed
+    /** The options of the deploy file, except for the class archive, which only the platform's build creates. */
     private static final List<String> JVM_OPTIONS = List.of(
             "-Djava.net.preferIPv4Stack=true",
             "-Xms24m",
@@ -46,35 +46,45 @@
     @Option(names = "--seed", description = "first seed (default: ${DEFAULT-VALUE})")
     private long seed = 1;
 
-    @Option(names = "--runs", description = "how many seeds in a row (default: ${DEFAULT-VALUE})")
+    @Option(names = "--runs", description = "number of runs, with consecutive seeds (default: ${DEFAULT-VALUE})")
     private int runs = 1;
 
-    @Option(names = "--seconds", description = "load of one run, in seconds (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            description = "duration of the load in one run, in seconds (default: ${DEFAULT-VALUE})")
     private int seconds = 12;
 
-    @Option(names = "--gateways", description = "gateways; 0 draws 6 to 18 by the seed (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--gateways",
+            description = "number of gateways; 0 draws 6 to 18 from the seed (default: ${DEFAULT-VALUE})")
     private int gateways;
 
-    @Option(names = "--faults", description = "drawn, none, or one plan for all processes (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--faults",
+            description = "drawn, none, or a fault plan for all processes (default: ${DEFAULT-VALUE})")
     private String faults = SoakOptions.DRAWN;
 
-    @Option(names = "--crowd", description = "always, never, or each fourth seed: drawn (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--crowd",
+            description = "idle clients: always, never, or drawn (every fourth seed) (default: ${DEFAULT-VALUE})")
     private String crowd = SoakOptions.DRAWN;
 
-    @Option(names = "--sockets", description = "descriptors of a gateway; 0: 1024, 256 in a crowd and each third seed")
+    @Option(
+            names = "--sockets",
+            description = "descriptor limit of a gateway; 0: 1024, or 256 with idle clients and for every third seed")
     private int sockets;
 
-    @Option(names = "--no-restarts", description = "processes are neither restarted nor signalled")
+    @Option(names = "--no-restarts", description = "neither restart nor signal processes")
     private boolean noRestarts;
 
-    @Option(names = "--keep", description = "a folder in which the logs of runs with broken rules stay")
+    @Option(names = "--keep", description = "folder that keeps the logs of runs that broke a rule")
     private Path keep;
 
     private final PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
 
     private SoakCommand() {}
 
-    /** The exit code. */
+    /** Runs the command and returns its exit code. */
     public static int run(String... arguments) {
         return new CommandLine(new SoakCommand()).execute(arguments);
     }
@@ -99,7 +109,7 @@
                 runSeed, gateways > 0 ? gateways : drawnGateways, seconds, faults, crowded, !noRestarts, maxSockets);
     }
 
-    /** Plays one run and prints its line; logs are kept only of runs with broken rules, and only where asked for. */
+    /** Plays one run and prints its result. Logs are kept only if {@code keep} is given and a rule was broken. */
     static RunResult run(SoakOptions options, Path keep, PrintWriter out) throws IOException, InterruptedException {
         Path folder = keep == null
                 ? Files.createTempDirectory("soak")
@@ -123,7 +133,8 @@
     private static void print(RunResult result, SoakOptions options, PrintWriter out) {
         out.printf(
                 Locale.ROOT,
-                "seed %d: %d gateways of %d descriptors, %d processes%s, %d requests %s, event loops at most %.0f ms late, %d rules broken%n",
+                "seed %d: %d gateways of %d descriptors, %d processes%s, %d requests %s, "
+                        + "event loops at most %.0f ms late, %d rules broken%n",
                 result.seed(),
                 options.gateways(),
                 options.sockets(),
--- a/src/main/java/deckfall/soak/SoakOptions.java
+++ b/src/main/java/deckfall/soak/SoakOptions.java
@@ -1,9 +1,15 @@
 package deckfall.soak;
 
 /**
- * One run: its seed, how many gateways, the seconds of load, the system calls that fail ({@code drawn} from the seed,
- * {@code none}, or a plan in the library's form for every process), whether a crowd of idle clients comes, whether
- * processes are restarted and signalled, and the descriptors of a gateway.
+ * The options of one run.
+ *
+ * @param seed seed of all random draws
+ * @param gateways number of gateways
+ * @param seconds duration of the load
+ * @param faults {@link #DRAWN} from the seed, {@link #NONE}, or a fault plan that every process gets
+ * @param crowd whether many idle clients connect at times
+ * @param processEvents whether processes are restarted and signalled
+ * @param sockets limit on open descriptors of a gateway
  */
 record SoakOptions(
         long seed, int gateways, int seconds, String faults, boolean crowd, boolean processEvents, int sockets) {
--- a/src/main/java/deckfall/soak/package-info.java
+++ b/src/main/java/deckfall/soak/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A randomized fault soak: real gateway processes between stand-in clients, seat servers and discovery on loopback,
- * while system calls, disks, the wall clock, seat servers and processes fail in spells that overlap. The rules of the
- * service are its oracle ({@link deckfall.soak.Ledger}); the same seed draws the same faults and requests, though not
- * the same interleaving.
+ * A randomized soak test under faults. Real gateway processes run between simulated clients, seat servers and discovery
+ * on loopback, while system calls, disks, the wall clock, seat servers and processes fail at overlapping times.
+ * {@link deckfall.soak.RuleChecker} checks every request against the rules of the service. The same seed draws the same
+ * faults and requests, but not the same interleaving.
  */
 package deckfall.soak;
