--- a/src/test/java/deckfall/soak/SoakTest.java
+++ b/src/test/java/deckfall/soak/SoakTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes under faults, short and with fixed seeds; {@code soak} of the command line plays longer ones. */
+/** Short soak runs of real processes with fixed seeds; the {@code soak} command plays longer ones. */
 class SoakTest {
     private static final int SECONDS = 6;
     private static final boolean CROWDED = true;
@@ -30,37 +30,40 @@
         assertTrue(served > result.requestsSent() / 2, served + " of " + result.requestsSent() + " were served");
     }
 
-    /** Clients on new connections waited for a second, past their deadlines, after one failed accept. */
+    /** Guards against a one-second pause after a failed accept, which made new clients miss their deadlines. */
     @Test
     void requestsAreServedWhileAcceptFailsBriefly() throws Exception {
         assertRulesHold(11, 4, "accept,ENFILE,20,2000,500", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
-    /** Clients' connections were closed unread once two processes of a gateway together held their cap of clients. */
+    /**
+     * Guards against closing client connections without reading them once two processes of a gateway together reach
+     * the limit on clients.
+     */
     @Test
     void requestsAreServedWhileProcessesAreReplaced() throws Exception {
         assertRulesHold(13, 6, SoakOptions.NONE, !CROWDED, RESTARTED, SoakOptions.FEW_SOCKETS);
     }
 
-    /** An interrupted read was taken for the end of the connection, whose request then got no answer. */
+    /** Guards against treating an interrupted read as the end of the connection, which left its request unanswered. */
     @Test
     void requestsAreServedWhileReadsAreInterrupted() throws Exception {
         assertRulesHold(11, 4, "read,EINTR,100,300,0", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
-    /** A write for which there was no buffer for a moment closed the connection under its answer. */
+    /** Guards against closing a connection in the middle of a response when a write briefly fails with ENOBUFS. */
     @Test
     void requestsAreServedWhileWritesFailWithNoBufferSpace() throws Exception {
         assertRulesHold(11, 4, "write,ENOBUFS,20,500,0,client", !CROWDED, !RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
-    /** Faults of all kinds that overlap. */
+    /** Overlapping faults of all kinds. */
     @Test
     void rulesHoldUnderRandomFaults() throws Exception {
         assertRulesHold(101, 8, SoakOptions.DRAWN, !CROWDED, RESTARTED, SoakOptions.DEFAULT_SOCKETS);
     }
 
-    /** The same where idle clients fill the descriptors. */
+    /** The same, while idle clients use up the descriptors. */
     @Test
     void rulesHoldUnderRandomFaultsWithIdleClients() throws Exception {
         assertRulesHold(104, 6, SoakOptions.DRAWN, CROWDED, RESTARTED, SoakOptions.FEW_SOCKETS);
