--- a/src/test/java/deckfall/net/EventLoopLagTest.java
+++ b/src/test/java/deckfall/net/EventLoopLagTest.java
@@ -4,53 +4,56 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long bytes may have waited for the event loop, turn by turn. */
+/** Tests how long bytes may have waited for the event loop, iteration by iteration. */
 class EventLoopLagTest {
     private static final boolean TASKS = true;
 
     private long nanos = 5;
-    private final EventLoopLag delay = new EventLoopLag(() -> nanos);
+    private final EventLoopLag lag = new EventLoopLag(() -> nanos);
 
     private void advance(long ms) {
         nanos += ms * 1_000_000;
     }
 
     private void iteration(boolean tasks) throws Exception {
-        delay.calculateStrategy(() -> 1, tasks);
+        lag.calculateStrategy(() -> 1, tasks);
     }
 
     @Test
     void bytesReadAfterBlockingHaveNotWaited() throws Exception {
         iteration(!TASKS);
         advance(500);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
         iteration(!TASKS);
         advance(800);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
     }
 
-    /** Requests that came while a turn took long were told to servers with the time that they had waited. */
+    /**
+     * The remaining time that hosts were told for requests that arrived during a long iteration still included the time
+     * waited.
+     */
     @Test
     void bytesMayHaveWaitedForAWholeLongIteration() throws Exception {
         iteration(!TASKS);
         advance(500);
-        delay.observeDelayMs();
-        advance(200); // in handling that
-        iteration(!TASKS); // finds I/O at once
-        assertEquals(200, delay.observeDelayMs());
+        lag.observeDelayMs();
+        advance(200); // while handling the I/O
+        iteration(!TASKS); // finds I/O without blocking
+        assertEquals(200, lag.observeDelayMs());
         advance(30);
-        assertEquals(230, delay.observeDelayMs());
+        assertEquals(230, lag.observeDelayMs());
     }
 
     @Test
-    void iterationOfTasksAloneCountsAsDelay() throws Exception {
+    void iterationOfTasksAloneCountsAsLag() throws Exception {
         iteration(TASKS);
         advance(150);
         iteration(TASKS);
-        assertEquals(150, delay.observeDelayMs());
+        assertEquals(150, lag.observeDelayMs());
         iteration(!TASKS);
-        advance(300); // slept, or did only what was due
+        advance(300); // blocked, or only ran what was due
         iteration(!TASKS);
-        assertEquals(0, delay.observeDelayMs());
+        assertEquals(0, lag.observeDelayMs());
     }
 }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -58,7 +58,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node between real sockets: each test is a failure that must not cost a request or break a rule. */
+/**
+ * Tests a node with real sockets on both sides. Each test causes a failure that must neither lose a request nor break
+ * a rule.
+ */
 class NodeTest {
     private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
     private static final List<String> LEAK_REPORTS = new CopyOnWriteArrayList<>();
@@ -76,7 +79,7 @@
     };
 
     private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // below the ports that the system gives out
+    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // below the ports that the system assigns
 
     private final Deque<Closeable> closeables = new ArrayDeque<>();
     private DiscoveryServer discovery;
@@ -86,7 +89,7 @@
         LEAK_LOGGER.addHandler(LEAK_RECORDER);
     }
 
-    /** A buffer that was not released shows once it has been collected and another is taken. */
+    /** A buffer that was not released is reported once it has been collected and another one is allocated. */
     @AfterAll
     static void noBufferWasLeaked() {
         for (int i = 0; i < 5; i++) {
@@ -109,8 +112,8 @@
         return closeable;
     }
 
-    private Server host(TestEndpoints.RequestHandler answer) throws IOException {
-        return closeLater(new Server(answer));
+    private Server host(TestEndpoints.RequestHandler handler) throws IOException {
+        return closeLater(new Server(handler));
     }
 
     private static void echo(Message m, java.net.Socket s) throws IOException {
@@ -124,15 +127,15 @@
         return node;
     }
 
-    /** The list of before a restart names hosts that drain by now: nothing may be sent there meanwhile. */
+    /** The host list from before a restart may name hosts that drain by now, to which nothing may be sent. */
     @Test
     void noClientIsAcceptedBeforeTheCurrentHostList() throws Exception {
         CompletableFuture<Node> started = new CompletableFuture<>();
-        CompletableFuture<Integer> portWhenAsked = new CompletableFuture<>();
+        CompletableFuture<Integer> portDuringDiscovery = new CompletableFuture<>();
         Server discoveryServer = closeLater(new Server((m, s) -> {
             Node node = started.join();
-            node.loop.submit(() -> {}).sync(); // what was begun before the call is done
-            portWhenAsked.complete(node.port());
+            node.loop.submit(() -> {}).sync(); // what was started before the call is done
+            portDuringDiscovery.complete(node.port());
             s.getOutputStream().write(okResponse(hostList(1, true)));
         }));
         String config = TestEndpoints.config(discoveryServer.address(), "127.0.0.1:0");
@@ -140,11 +143,13 @@
         closeables.push(node::stop);
         started.complete(node);
         node.start();
-        assertEquals(0, portWhenAsked.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(0, portDuringDiscovery.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertNotEquals(0, node.port());
     }
 
-    /** A drain closes idle connections; a request that crosses such an end comes again on a new connection at once. */
+    /**
+     * A drain closes idle connections. A client whose request crosses the close reconnects at once and sends it again.
+     */
     @Test
     void clientReconnectsAfterADrainClosedItsIdleConnection() throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -153,28 +158,33 @@
                 200,
                 idle.send(viewRequest("a", TestEndpoints.TIMEOUT_MS)).receive().status());
         idle.socket.setSoTimeout(1);
-        CompletableFuture<Client> anew = new CompletableFuture<>();
+        CompletableFuture<Client> reconnected = new CompletableFuture<>();
         node.loop.execute(node::drain);
-        node.loop.execute(() -> reconnectOnceClosed(node, idle, anew));
-        Client second = anew.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        node.loop.execute(() -> reconnectOnceClosed(node, idle, reconnected));
+        Client second = reconnected.get(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(200, second.receive().status());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** On the node's own loop, so that nothing else of the node can come between the end and the new request. */
-    private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> anew) {
+    /**
+     * Runs on the node's event loop, so that nothing else of the node can run between the close and the new request.
+     */
+    private void reconnectOnceClosed(Node node, Client idle, CompletableFuture<Client> reconnected) {
         try {
             if (idle.socket.getInputStream().read() < 0) {
-                anew.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
+                reconnected.complete(client(node).send(viewRequest("b", TestEndpoints.TIMEOUT_MS)));
             }
         } catch (SocketTimeoutException e) { // still open
-            node.loop.schedule(() -> reconnectOnceClosed(node, idle, anew), 1, TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> reconnectOnceClosed(node, idle, reconnected), 1, TimeUnit.MILLISECONDS);
         } catch (IOException e) {
-            anew.completeExceptionally(e);
+            reconnected.completeExceptionally(e);
         }
     }
 
-    /** A signal that nobody heard would leave a gateway deaf to drains for good. */
+    /**
+     * A gateway that missed the reload signal would never learn the new address of discovery, and would miss all drains
+     * of hosts.
+     */
     @Test
     void configurationIsReloadedWhenDiscoveryIsLost(@TempDir Path folder) throws Exception {
         DiscoveryServer old = new DiscoveryServer(hostList(1, true));
@@ -187,7 +197,7 @@
         node.start();
         Files.writeString(file, TestEndpoints.config(moved.server.address(), "127.0.0.1:0"));
         old.close();
-        assertNotNull(moved.server.nextRequest(), "not asked at the address of the replaced configuration");
+        assertNotNull(moved.server.nextRequest(), "no call to the address of the replaced configuration");
     }
 
     private Node nodeWithServers(Server... hosts) throws IOException {
@@ -213,9 +223,9 @@
             s.getOutputStream().write(body);
         });
         Client c = client(nodeWithServers(host));
-        Message answer = c.send(orderRequest("id-1", "two copies")).receive();
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        Message response = c.send(orderRequest("id-1", "two copies")).receive();
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
         Message sent = host.nextRequest();
         assertEquals("POST /order/x HTTP/1.1", sent.start());
         assertEquals("id-1", sent.header("X-Trace-Id"));
@@ -241,7 +251,7 @@
         assertEquals(10, host.requests.size());
     }
 
-    /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
+    /** The request may have run, so the status must not tell the client that a retry is harmless. */
     @Test
     void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
@@ -257,10 +267,10 @@
     void requestThatNeverRanIsRefusedWithRetryAfter() throws Exception {
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer =
+        Message response =
                 client(nodeWithServers(host)).send(orderRequest("o", "b")).receive();
-        assertEquals(429, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        assertEquals(429, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
     }
 
     @Test
@@ -269,17 +279,17 @@
         Client c = client(nodeWithServers(host));
         String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
-        Message answer = c.send(tiny).receive();
-        assertEquals(429, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        Message response = c.send(tiny).receive();
+        assertEquals(429, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         assertEquals(1, host.requests.size());
     }
 
     @Test
     void partialResponseIsNeverPassedOn() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger requestCount = new AtomicInteger();
         Server host = host((m, s) -> {
-            if (asked.incrementAndGet() > 1) {
+            if (requestCount.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
             }
@@ -292,10 +302,10 @@
                         .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
-        assertEquals(2, asked.get());
+        assertEquals(2, requestCount.get());
     }
 
-    /** A line that is no header leaves in doubt what the rest of the answer is. */
+    /** After a malformed header line it is unclear what the rest of the response is. */
     @Test
     void responseWithAMalformedHeaderIsNeverPassedOn() throws Exception {
         Deque<String> lines = new ArrayDeque<>(List.of("no colon here", "no", "X-Pad : 1"));
@@ -315,16 +325,18 @@
         assertEquals(4, host.requests.size());
     }
 
-    /** Requests wait for the bound, so that one goes out on the very connection that an answer has just freed. */
+    /**
+     * Requests wait for the concurrency limit, so that one is sent on the connection that a response has just freed.
+     */
     @Test
     void bytesAfterAResponseReachNoOtherRequest() throws Exception {
-        AtomicInteger answered = new AtomicInteger();
+        AtomicInteger responseCount = new AtomicInteger();
         Server host = host((m, s) -> {
             String id = m.header("X-Trace-Id");
             byte[] good = okResponse("for " + id);
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             all.write(good);
-            switch (answered.getAndIncrement() % 4) {
+            switch (responseCount.getAndIncrement() % 4) {
                 case 0 -> all.write(good);
                 case 1 -> all.write(bytes("HTTP/1.1 200 OK\r\nContent-Le"));
                 case 2 -> all.write(bytes("left over"));
@@ -343,10 +355,13 @@
         assertEquals(40, host.requests.size());
     }
 
-    /** The settings only say by when a host closes an idle connection; on many an idle one it does so far earlier. */
+    /**
+     * The settings give only the latest time at which a host closes an idle connection; hosts often close it much
+     * earlier.
+     */
     @Test
     void connectionIdleAsLongAsAResetOneIsNotReused() throws Exception {
-        List<Long> idleNanos = new CopyOnWriteArrayList<>(); // before each request that was reset
+        List<Long> idleNanos = new CopyOnWriteArrayList<>(); // idle time before each request that was reset
         Map<java.net.Socket, Long> answeredAt = new ConcurrentHashMap<>();
         Server host = host((m, s) -> {
             long idle = System.nanoTime() - answeredAt.getOrDefault(s, System.nanoTime());
@@ -366,11 +381,11 @@
                     c.send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS))
                             .receive()
                             .text());
-            TimeUnit.MILLISECONDS.sleep(300); // the idle time itself: more of it changes nothing
+            TimeUnit.MILLISECONDS.sleep(300); // the idle time itself, not a wait for an event
         }
         assertTrue(idleNanos.size() > 0);
         for (int i = 1; i < idleNanos.size(); i++) {
-            assertTrue(idleNanos.get(i) < 0.95 * idleNanos.get(i - 1), "reset after " + idleNanos);
+            assertTrue(idleNanos.get(i) < 0.95 * idleNanos.get(i - 1), "idle before each reset, in ns: " + idleNanos);
         }
     }
 
@@ -381,10 +396,10 @@
         c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         c.close();
-        assertNotNull(host.closedByPeer.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.closedConnections.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** What comes after the client's time must reach nobody: not that client, nor the next request. */
+    /** A response after the deadline must reach neither that client nor the next request. */
     @Test
     void lateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
@@ -530,19 +545,19 @@
         String head = got.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
         got.write(in.readNBytes(body.length - (got.size() - head.length() - 4)));
         assertArrayEquals(body, java.util.Arrays.copyOfRange(got.toByteArray(), head.length() + 4, got.size()));
-        assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection goes on
+        assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection stays open
         assertEquals(1, metric(node, "success_total{type=\"view\"}"));
         assertEquals(0, metric(node, "concurrent"));
     }
 
-    /** An end that was announced is one; a reset, or an end out of the blue, is not. */
+    /** A close that the host has announced ends a response; a reset or an unannounced close does not. */
     @Test
     void announcedConnectionCloseEndsAResponse() throws Exception {
         for (int length : List.of(5, 300_000)) {
             String body = "x".repeat(length);
-            AtomicInteger asked = new AtomicInteger();
+            AtomicInteger requestCount = new AtomicInteger();
             Server host = host((m, s) -> {
-                int time = asked.getAndIncrement();
+                int time = requestCount.getAndIncrement();
                 String head = time == 0 ? "HTTP/1.1 200 OK\r\n\r\n" : "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
                 s.getOutputStream().write(bytes(head + (time < 2 ? "half" : body)));
                 s.setSoLinger(time == 1, 0);
@@ -553,11 +568,13 @@
             String got =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
             assertTrue(got.startsWith("HTTP/1.1 200") && got.endsWith("\r\n\r\n" + body), got.split("\r\n\r\n")[0]);
-            assertEquals(3, asked.get());
+            assertEquals(3, requestCount.get());
         }
     }
 
-    /** Once begun it can't be tried again, and the client must not take what it has for the whole. */
+    /**
+     * A response that has started can't be retried, and the client must not mistake the part that it has for the whole.
+     */
     @Test
     void brokenLongResponseIsResetForTheClient() throws Exception {
         for (String length : List.of("Content-Length: 1000000", "Transfer-Encoding: chunked")) {
@@ -575,7 +592,7 @@
         }
     }
 
-    /** A body beyond what is kept goes to one attempt while it comes, and is not sent again. */
+    /** A body that is too long to be kept is streamed to one attempt and is not sent again. */
     @Test
     void longBodyIsStreamedAndSentOnlyOnce() throws Exception {
         byte[] body = pattern(4_000_000);
@@ -610,7 +627,10 @@
         assertArrayEquals(body, received.get(0));
     }
 
-    /** A peer that says nothing, or never the end of it, is owed a word; one that has asked may stay silent. */
+    /**
+     * A client that sends nothing, or no complete request, gets a response; one that has sent a request may stay
+     * silent.
+     */
     @Test
     void clientWithoutACompleteRequestTimesOut() throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -642,7 +662,7 @@
             idle.add(client(node));
             assertEquals(200, idle.get(i).send(HEALTH_REQUEST).receive().status());
         }
-        assertNull(idle.get(0).receive()); // the longest idle, though not the oldest
+        assertNull(idle.get(0).receive()); // the longest idle one, though not the oldest
         assertEquals("for v ", inside.send(request.substring(30)).receive().text());
     }
 
@@ -657,19 +677,22 @@
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 12"));
         closeables.push(node::stop);
-        List<Client> held = new ArrayList<>();
+        List<Client> waitingClients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            held.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
+            waitingClients.add(client(node).send(viewRequest("v" + i, TestEndpoints.TIMEOUT_MS)));
             assertNotNull(host.nextRequest());
         }
-        assertNull(client(node).receive()); // turned away: every other connection has a request open
+        assertNull(client(node).receive()); // closed, as every other connection has an open request
         crowded.countDown();
         for (int i = 0; i < 4; i++) {
-            assertEquals("for v" + i + " ", held.get(i).receive().text());
+            assertEquals("for v" + i + " ", waitingClients.get(i).receive().text());
         }
     }
 
-    /** Clients' new connections were shut unread once both processes of a gateway held the clients' share together. */
+    /**
+     * New client connections were closed without being read once both processes of a gateway together held the clients'
+     * share.
+     */
     @Test
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
         Node node = nodeWithServers(host(NodeTest::echo));
@@ -681,10 +704,10 @@
         node.loop
                 .submit(() -> assertEquals(share, node.siblings().clientConnections()))
                 .sync();
-        Message answer =
+        Message response =
                 client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS)).receive();
-        assertEquals("for v ", answer.text());
-        assertEquals("close", answer.header("Connection"));
+        assertEquals("for v ", response.text());
+        assertEquals("close", response.header("Connection"));
     }
 
     @Test
@@ -700,7 +723,7 @@
         }
     }
 
-    /** The module knows requests by id; a client that sends one again must not take the first one's place. */
+    /** The module identifies requests by id. A request with the id of an open one must not replace it. */
     @Test
     void twoOpenRequestsWithOneIdGetTwoResponses() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
@@ -719,7 +742,7 @@
     @Test
     void drainingHostGetsNoNewRequestsAndAMovedHostIsFollowed() throws Exception {
         Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
+        Server movedTo = host(NodeTest::echo);
         Node node = nodeWithServers(old);
         Client c = client(node);
         assertEquals(
@@ -728,7 +751,7 @@
         awaitDiscoveryWatches(1);
         discovery.updates.add(hostList(
                 2, false, hostEntry("h0", old.address(), "draining"), hostEntry("h1", REFUSING_ADDRESS, "ready")));
-        discovery.updates.add(hostList(3, false, hostEntry("h1", fresh.address(), "ready")));
+        discovery.updates.add(hostList(3, false, hostEntry("h1", movedTo.address(), "ready")));
         awaitDiscoveryWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(
@@ -738,7 +761,7 @@
                             .status());
         }
         assertEquals(1, old.requests.size());
-        assertEquals(5, fresh.requests.size());
+        assertEquals(5, movedTo.requests.size());
     }
 
     @Test
@@ -758,7 +781,10 @@
         assertEquals(0, old.requests.size());
     }
 
-    /** The first calls of a watch that is broken again and again, and still goes on from the version held. */
+    /**
+     * The first calls of a watch whose connection breaks repeatedly: each continues from the version that the node
+     * holds.
+     */
     @Test
     void brokenWatchResumesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
@@ -782,7 +808,7 @@
                         .filter(m -> m.start().contains("from="))
                         .count()
                 < count) {
-            assertTrue(System.nanoTime() < end, "no watch came");
+            assertTrue(System.nanoTime() < end, "no watch call arrived");
             Thread.sleep(5);
         }
     }
@@ -796,21 +822,21 @@
     @Test
     void peersGetShortDatagramsAndUnknownSendersAreIgnored() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+                DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
-            String mine = "127.0.0.1:" + port;
+            String nodeAddress = "127.0.0.1:" + port;
             Server host = host(NodeTest::echo);
             discovery = closeLater(new DiscoveryServer(hostList(1, true, hostEntry("h0", host.address(), "ready"))));
-            Node node = TestEndpoints.node(
-                    TestEndpoints.config(discovery.server.address(), mine, mine, "127.0.0.1:" + peer.getLocalPort()));
+            Node node = TestEndpoints.node(TestEndpoints.config(
+                    discovery.server.address(), nodeAddress, nodeAddress, "127.0.0.1:" + peer.getLocalPort()));
             closeables.push(node::stop);
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            for (DatagramSocket from : List.of(stranger, peer)) {
+            for (DatagramSocket from : List.of(unknownSender, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
                     from.send(new DatagramPacket(new byte[size], size, to));
                 }
             }
-            // Several customers, since the node itself keeps the books of some of them.
+            // Several customers, as the node itself is the owner of some of them.
             for (int i = 0; i < 8; i++) {
                 String shared = viewRequest("s" + i, TestEndpoints.TIMEOUT_MS)
                         .replace("spread=1", "spread=2")
@@ -818,9 +844,9 @@
                 assertEquals(200, client(node).send(shared).receive().status());
             }
             peer.setSoTimeout(TestEndpoints.TIMEOUT_MS);
-            DatagramPacket told = new DatagramPacket(new byte[1000], 1000);
-            peer.receive(told);
-            assertTrue(told.getLength() > 0 && told.getLength() <= 256);
+            DatagramPacket received = new DatagramPacket(new byte[1000], 1000);
+            peer.receive(received);
+            assertTrue(received.getLength() > 0 && received.getLength() <= 256);
         }
     }
 
@@ -836,19 +862,19 @@
         Client idle = client(node);
         assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
-        Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS)); // clients still come for a while
+        // New clients are still served for a while
+        Client late = client(node).send(viewRequest("w", TestEndpoints.TIMEOUT_MS));
         draining.countDown();
         for (Client c : List.of(busy, late)) {
-            Message answer = c.receive();
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.header("Connection"));
+            Message response = c.receive();
+            assertEquals(200, response.status());
+            assertEquals("close", response.header("Connection"));
             assertNull(c.receive());
         }
         assertNull(idle.receive());
         assertTrue(node.awaitDrained(TestEndpoints.TIMEOUT_MS));
     }
 
-    /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
@@ -862,7 +888,7 @@
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH_REQUEST).receive().status());
         operations.quiesce();
-        operations.quiesce(); // once more changes nothing
+        operations.quiesce(); // a second call changes nothing
         assertEquals("draining", operations.notReadyReason());
         assertEquals(503, client(node).send(HEALTH_REQUEST).receive().status());
         Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
@@ -875,16 +901,16 @@
                 client(node)
                         .send(viewRequest("m", TestEndpoints.TIMEOUT_MS))
                         .receive()
-                        .status()); // served to the end
+                        .status()); // requests are served throughout the drain
         operations.resume();
         operations.resume();
-        Client back = client(node);
-        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
-        assertNull(back.send(HEALTH_REQUEST).receive().header("Connection"));
+        Client resumed = client(node);
+        assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
+        assertNull(resumed.send(HEALTH_REQUEST).receive().header("Connection"));
         operations.quiesce();
         operations.resume(); // before the first sweep
         assertNull(operations.notReadyReason());
-        assertEquals(200, back.send(HEALTH_REQUEST).receive().status());
+        assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
@@ -919,7 +945,7 @@
         assertEquals(0, metric(node, "error_total{type=\"view\"}"));
         assertEquals(host.requests.size(), metric(node, "dispatches_total"));
         assertEquals(0, metric(node, "concurrent"));
-        while (metric(node, "targets") != 2) { // told on a beat
+        while (metric(node, "targets") != 2) { // updated periodically
             Thread.onSpinWait();
         }
         assertEquals(1, metric(node, "targets_disabled"));
@@ -931,9 +957,12 @@
                 return Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
             }
         }
-        throw new AssertionError("no figure " + name);
+        throw new AssertionError("no metric " + name);
     }
 
+    /**
+     * Nothing may be left open when the process is killed: requests that still run are failed or refused before that.
+     */
     @Test
     void drainEndsRequestsThatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
@@ -952,21 +981,23 @@
         return node;
     }
 
-    /** The meter's word is the module's only one on the other gateways' use; 0 means that there was none. */
+    /**
+     * The meter's readings are all that the module learns of the use at other gateways; 0 means that there was none.
+     */
     @Test
     void quotaUseOfAResponseReachesTheModule() throws Exception {
-        Deque<String> told = new ArrayDeque<>(List.of(
+        Deque<String> headerLines = new ArrayDeque<>(List.of(
                 "",
                 "X-Quota-Used: 0\r\n",
                 "X-Quota-Used: 85\r\n",
                 "X-Quota-Used: TEXT ?\r\nX-Quota-Used: 31\r\n",
                 "X-Quota-Used: %%%\r\n",
                 "X-Quota-Used: -7\r\n"));
-        Server host = host((m, s) ->
-                s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\n" + told.poll() + "Content-Length: 0\r\n\r\n")));
-        List<Integer> heard = new CopyOnWriteArrayList<>();
+        Server host = host((m, s) -> s.getOutputStream()
+                .write(bytes("HTTP/1.1 200 OK\r\n" + headerLines.poll() + "Content-Length: 0\r\n\r\n")));
+        List<Integer> readings = new CopyOnWriteArrayList<>();
         Node node = nodeWithModule(
-                act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> heard.add(r.meterReading())),
+                act -> new ScriptedModule((now, r) -> act.send(r.id(), "h0", 0), r -> readings.add(r.meterReading())),
                 hostEntry("h0", host.address(), "ready"));
         awaitDiscoveryWatches(1);
         Client c = client(node);
@@ -977,18 +1008,21 @@
                             .receive()
                             .status());
         }
-        node.loop.submit(() -> {}).sync(); // the client's answer goes out before the module is told
-        assertEquals(List.of(0, 1, 86, 32, 0, 0), heard);
+        node.loop.submit(() -> {}).sync(); // the client's response is sent before the module is called
+        assertEquals(List.of(0, 1, 86, 32, 0, 0), readings);
     }
 
-    /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
+    /** The result of a counter call, as the module receives it. */
     private record CounterResult(String name, Outcome outcome, double total) {}
 
-    /** Answers come in the order of the calls; one without a number ends the connection, and calls go on on another. */
+    /**
+     * Replies arrive in the order of the calls. A reply without a number ends the connection, and calls continue on a
+     * new one.
+     */
     @Test
     void counterRepliesReachTheModule() throws Exception {
         java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
-        java.util.concurrent.BlockingQueue<CounterResult> heard = new java.util.concurrent.LinkedBlockingQueue<>();
+        java.util.concurrent.BlockingQueue<CounterResult> results = new java.util.concurrent.LinkedBlockingQueue<>();
         Actions[] acts = new Actions[1];
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
         String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
@@ -999,17 +1033,17 @@
             return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
-                    heard.add(new CounterResult(name, outcome, total));
+                    results.add(new CounterResult(name, outcome, total));
                 }
             };
         });
         closeables.push(node::stop);
-        for (String none : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
+        for (String notANumber : List.of("none", "NaN", "Infinity", "1e999", "0x1p3", "7d")) {
             java.net.Socket s = closeLater(counter.accept());
             CounterResult refused;
-            do { // until the node knows that it is connected: a call that can't be written is told so at once
+            do { // until the node is connected, as a call that can't be written fails at once
                 node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
-                refused = heard.poll();
+                refused = results.poll();
             } while (refused != null);
             node.loop.submit(() -> acts[0].addToCounter("u2", -1, 4000)).sync();
             String call = "*4\r\n$6\r\nADDGET\r\n$2\r\nu1\r\n$3\r\n2.5\r\n$4\r\n4000\r\n";
@@ -1018,30 +1052,33 @@
                     new String(
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
             node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
-            s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + none + "\r\n"));
+            s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + notANumber + "\r\n"));
             assertEquals(
                     new CounterResult("u1", Outcome.OK, 7.5),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(
                     new CounterResult("u2", Outcome.FULL, 0),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(
                     new CounterResult("u3", Outcome.RESET, 0),
-                    heard.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                    results.poll(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
     @Test
     void connectionIsClosedWhenItsRequestThrowsAnError() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
-            throw new AssertionError("made up by the test");
+            throw new AssertionError("thrown by the test");
         }));
         assertNull(client(node)
                 .send(viewRequest("v", TestEndpoints.TIMEOUT_MS / 2))
                 .receive());
     }
 
-    /** Clients and hosts together leave what discovery, the counter, the operator and the process itself need. */
+    /**
+     * Connections to clients and hosts together leave the descriptors that discovery, the counter, the operator and the
+     * process itself need.
+     */
     @Test
     void descriptorsRemainInReserve() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
@@ -1051,11 +1088,12 @@
         assertTrue(HostClient.connectionLimit(20) > 1);
     }
 
+    /** A request on which the module throws, or that it forgets, is failed and not refused, as it may have run. */
     @Test
     void requestIsAnsweredWhenTheModuleThrows() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
             if (r.requestClass().equals("view")) {
-                throw new IllegalStateException("made up by the test");
+                throw new IllegalStateException("thrown by the test");
             }
             act.refuse(r.id(), 100, Refusal.QUOTA);
         }));
@@ -1064,7 +1102,7 @@
         assertEquals(429, c.send(orderRequest("o", "b")).receive().status());
     }
 
-    /** Only the first final answer goes out; a second one would be taken for the next request's. */
+    /** A second final response would be mistaken for the response to the next request. */
     @Test
     void onlyTheFirstFinalResponseIsSent() throws Exception {
         Node node = nodeWithModule(act -> new ScriptedModule((now, r) -> {
@@ -1084,7 +1122,7 @@
                 c.send(viewRequest("w", TestEndpoints.TIMEOUT_MS)).receive().status());
     }
 
-    /** Idle clients may not use up the descriptors that others need, nor may a busy one be cut off for them. */
+    /** Idle clients may not use up the descriptors that others need, nor may a busy connection be closed for them. */
     @Test
     void idleConnectionsAreShedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
@@ -1098,7 +1136,7 @@
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
         closeables.push(node::stop);
-        Client held = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
+        Client waitingClient = client(node).send(viewRequest("held", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         Client first = client(node);
         for (int i = 0; i < 30; i++) {
@@ -1111,10 +1149,10 @@
         }
         assertNull(first.receive());
         crowded.countDown();
-        assertEquals("for held ", held.receive().text());
+        assertEquals("for held ", waitingClient.receive().text());
     }
 
-    /** One call that failed at the start, here the bind of an address in use, ended the process. */
+    /** A single failed call during startup, here the bind to an address in use, ended the process. */
     @Test
     void nodeServesOnceItsAddressBecomesFree() throws Exception {
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
