--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -51,9 +51,9 @@
 
     private static final int FIRST_PORT = 12_000; // below the ephemeral ports of the system
     private static final int PORT_MASK = 0x3fff;
-    private static final int PORTS_PER_TEST_PROCESS = 64;
+    private static final int FIRST_PORT_STRIDE = 64;
     private static final AtomicInteger NEXT_PORT =
-            new AtomicInteger((int) ProcessHandle.current().pid() * PORTS_PER_TEST_PROCESS);
+            new AtomicInteger((int) ProcessHandle.current().pid() * FIRST_PORT_STRIDE);
     private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
     private static final double NANOS_PER_MS = 1e6;
     private static final int CALL_TIMEOUT_MS = 500; // of a call to the operator's address or of kill(1)
--- a/src/main/java/deckfall/soak/LoadGenerator.java
+++ b/src/main/java/deckfall/soak/LoadGenerator.java
@@ -312,13 +312,13 @@
                 return;
             }
             for (Request request = pending.poll(); request != null; request = pending.poll()) {
-                requestClosedByGateway(request);
+                handleGatewayClose(request);
                 responseStarted = false;
             }
         }
 
         /** The gateway closed the connection while this request was pending. */
-        private void requestClosedByGateway(Request request) {
+        private void handleGatewayClose(Request request) {
             if (request.end != null) {
                 return;
             }
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -122,9 +122,9 @@
 
     private void startGateways() throws IOException {
         for (int g = 0; g < options.gateways(); g++) {
-            boolean inherits = g % 2 == 1;
+            boolean inheritsListener = g % 2 == 1;
             GatewayUnderTest gateway = new GatewayUnderTest(
-                    g, inherits, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
+                    g, inheritsListener, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
             gateways.add(gateway);
             gateway.configure(configJson(gateway, 0));
             gateway.start(drawFaults(random));
@@ -192,8 +192,9 @@
         return thread;
     }
 
-    private Thread startProcessEvents(int g, long seed) {
-        return startScript(r -> runProcessEvents(gateways.get(g), loadGenerators.get(g), r), seed);
+    private Thread startProcessEvents(int gatewayNumber, long seed) {
+        return startScript(
+                r -> runProcessEvents(gateways.get(gatewayNumber), loadGenerators.get(gatewayNumber), r), seed);
     }
 
     /** Sleeps for a time, or until the run ends. */
