--- a/src/main/resources/deckfall/soak/faults.c
+++ b/src/main/resources/deckfall/soak/faults.c
@@ -5,10 +5,10 @@
  *     CALL,ERRNO,WINDOW_MS,PERIOD_MS,PHASE_MS[,SCOPE]  the call fails during the first WINDOW_MS of each period
  *     clock,STEP_MS,AT_MS                              steps the wall clock once, AT_MS after the start of the process
  *
- * CALL is accept, socket, connect, read, write, wait, disk or config. ERRNO is the name of an error, or SHORT, which
- * limits a transfer to a few bytes. SCOPE is client or server, the side of the connection; without it, both sides are
- * affected. Faults only affect connections that were accepted or connected, files below TMPDIR, and the file that
- * NODE_CONFIG names.
+ * CALL is accept, socket, connect, read, write, wait, disk or config. ERRNO is the name of an error, or SHORT for
+ * partial transfers. SCOPE is client or server, the side of the connection; without it, both sides are affected. Faults
+ * of transfers and files only affect connections that were accepted or connected, files below TMPDIR and the file that
+ * NODE_CONFIG names, except that disk faults make the listing of any directory fail.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
