--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -51,7 +51,7 @@
 
     private static final int FIRST_PORT = 12_000; // below the ephemeral ports of the system
     private static final int PORT_MASK = 0x3fff;
-    private static final int FIRST_PORT_STRIDE = 64;
+    private static final int FIRST_PORT_STRIDE = 64; // between soak processes with consecutive ids
     private static final AtomicInteger NEXT_PORT =
             new AtomicInteger((int) ProcessHandle.current().pid() * FIRST_PORT_STRIDE);
     private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
@@ -192,7 +192,7 @@
         return process;
     }
 
-    /** The gateway's command line under the limit on open descriptors. */
+    /** The gateway's command line under a limit on open descriptors, as the platform sets one. */
     private List<String> commandWithDescriptorLimit() {
         return Stream.concat(
                         Stream.of("/bin/sh", "-c", "ulimit -n " + maxSockets + "; exec \"$0\" \"$@\""),
--- a/src/main/java/deckfall/soak/LoadGenerator.java
+++ b/src/main/java/deckfall/soak/LoadGenerator.java
@@ -29,8 +29,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Simulates the clients of one gateway on one event loop. Requests arrive at exponentially distributed intervals, on
- * new or reused connections. Some clients disconnect early, some write a request in two parts, some pipeline several
+ * Simulates the clients of one gateway on one event loop. Requests are sent at exponentially distributed intervals,
+ * on new or reused connections. Some clients disconnect early, some write a request in two parts, some pipeline several
  * requests, and many may hold idle connections.
  */
 final class LoadGenerator {
@@ -317,7 +317,7 @@
             }
         }
 
-        /** The gateway closed the connection while this request was pending. */
+        /** Handles a request that was pending when the gateway closed the connection. */
         private void handleGatewayClose(Request request) {
             if (request.end != null) {
                 return;
@@ -341,8 +341,8 @@
         }
 
         /**
-         * Sends a request again that crossed the gateway's close of an idle connection. No rule is broken if the new
-         * connection can't be opened.
+         * Resends a request that was sent while the gateway was closing the idle connection. No rule is broken if the
+         * new connection can't be opened.
          */
         private void resend(Request request) {
             Connection connection = new Connection();
--- a/src/main/java/deckfall/soak/RuleChecker.java
+++ b/src/main/java/deckfall/soak/RuleChecker.java
@@ -35,9 +35,9 @@
         LATE_ATTEMPT,
         /** The remaining time announced to a server does not exceed what is left of the deadline. */
         TOLD_DEADLINE,
-        /** A request reaches servers at most {@link #MAX_ATTEMPTS} times. */
+        /** A request reaches servers at most {@link #MAX_ATTEMPTS} times, unless its client resent it. */
         ATTEMPTS,
-        /** A process exits only when it was asked to. */
+        /** A process exits only after the soak has sent it SIGTERM or SIGKILL. */
         CRASH,
         /** A started process becomes ready in time. */
         NOT_READY,
@@ -59,7 +59,7 @@
         CUT_SHORT,
         /** The gateway closed the connection before the request was fully written, or no end was recorded. */
         NEVER_TAKEN,
-        /** The request was open when its gateway was killed. */
+        /** The request was open during an {@link Outage} of its gateway. */
         KILLED,
         /** No complete response came; this breaks a rule. */
         LOST
@@ -117,7 +117,7 @@
     private final Map<Long, Double> lagsByBucket = new ConcurrentHashMap<>();
     private final Queue<Outage> outages = new ConcurrentLinkedQueue<>();
 
-    /** The monotonic clock. */
+    /** The current time of the monotonic clock. */
     static double nowMs() {
         return System.nanoTime() / NANOS_PER_MS;
     }
--- a/src/main/java/deckfall/soak/SimulatedDiscovery.java
+++ b/src/main/java/deckfall/soak/SimulatedDiscovery.java
@@ -115,7 +115,7 @@
                 + String.join(",", jsonById.values()) + "]}";
     }
 
-    /** Serves {@code from} and {@code hold_ms} of one connection. */
+    /** Serves the requests of one connection, with the query parameters {@code from} and {@code hold_ms}. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -129,7 +129,10 @@
             respondWhenChanged(ctx, fromVersion, RuleChecker.nowMs() + holdMs);
         }
 
-        /** Responds with the changes since a version, or with the full list if the version is unknown. */
+        /**
+         * Responds with the changes since a version, once there are any or the hold time is over. Responds with the
+         * full list if the version is unknown.
+         */
         private void respondWhenChanged(ChannelHandlerContext ctx, int fromVersion, double holdUntilMs) {
             if (!ctx.channel().isActive()) {
                 return;
--- a/src/main/java/deckfall/soak/SoakCommand.java
+++ b/src/main/java/deckfall/soak/SoakCommand.java
@@ -19,10 +19,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The {@code soak} command: plays one run for each of several seeds. The exit code is 1 if a rule was broken. */
+/** The {@code soak} command: executes one run for each of several seeds. The exit code is 1 if a rule was broken. */
 @Command(
         name = "soak",
-        description = "Runs real gateway processes under overlapping faults and checks every request.",
+        description = "Runs real gateway processes under overlapping faults and checks the rules of the service.",
         mixinStandardHelpOptions = true)
 public final class SoakCommand implements Callable<Integer> {
     private static final int MAX_PRINTED_VIOLATIONS = 5; // of each rule, per run
@@ -109,7 +109,7 @@
                 runSeed, gateways > 0 ? gateways : drawnGateways, seconds, faults, crowded, !noRestarts, maxSockets);
     }
 
-    /** Plays one run and prints its result. Logs are kept only if {@code keep} is given and a rule was broken. */
+    /** Executes one run and prints its result. Logs are kept only if {@code keep} is given and a rule was broken. */
     static RunResult run(SoakOptions options, Path keep, PrintWriter out) throws IOException, InterruptedException {
         Path folder = keep == null
                 ? Files.createTempDirectory("soak")
--- a/src/main/java/deckfall/soak/SoakOptions.java
+++ b/src/main/java/deckfall/soak/SoakOptions.java
@@ -3,7 +3,7 @@
 /**
  * The options of one run.
  *
- * @param seed seed of all random draws
+ * @param seed seed of the drawn fault plans, events and requests
  * @param gateways number of gateways
  * @param seconds duration of the load
  * @param faults {@link #DRAWN} from the seed, {@link #NONE}, or a fault plan that every process gets
--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -27,7 +27,7 @@
     private static final double SERVER_FAULT_SHARE = 0.11; // of the requests, which don't get a plain response
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long KILL_AFTER_DEADLINE_MS = 700; // from SIGTERM, beyond the longest deadline
-    private static final int MIN_BALANCER_DELAY_MS = 200; // until new connections avoid a gateway that stops
+    private static final int MIN_BALANCER_DELAY_MS = 200; // from SIGTERM until new connections avoid the gateway
     private static final int MAX_BALANCER_DELAY_MS = 400;
     private static final long POLL_INTERVAL_MS = 30;
     private static final long WATCH_INTERVAL_MS = 100;
@@ -64,7 +64,7 @@
         this.random = new Random(options.seed());
     }
 
-    /** Plays the run and returns its result once all processes have ended. */
+    /** Executes the run and returns its result once all processes have ended. */
     RunResult run() throws IOException, InterruptedException {
         List<Thread> scripts = new ArrayList<>();
         Thread shutdownHook = new Thread(this::killAll); // also if the soak itself is terminated
--- a/src/test/java/deckfall/soak/SoakTest.java
+++ b/src/test/java/deckfall/soak/SoakTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Short soak runs of real processes with fixed seeds; the {@code soak} command plays longer ones. */
+/** Short soak runs of real processes under faults, with fixed seeds; the {@code soak} command executes longer ones. */
 class SoakTest {
     private static final int SECONDS = 6;
     private static final boolean CROWDED = true;
