--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -8,7 +8,7 @@
  * with each call and decays over time, so that the calls made within the rate are those that save most.
  */
 final class CallBudget {
-    private static final double FLEET_START_RATE = 400; // calls per second of all gateways at first
+    private static final double INITIAL_FLEET_RATE = 400; // calls per second of all gateways at first
     private static final double MIN_RATE = 0.5; // calls per second: rare calls detect that the counter has recovered
     private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first congested reply
     private static final double GROWTH_SHARE = 0.2; // of the rate, each second after slow start
@@ -20,7 +20,7 @@
     private static final double CONGESTED_LATENESS = 0.5; // of the way from the timely share to the timeout
     private static final int MIN_TIMELY_REPLIES = 3; // timely replies after which the counter sustains the rate
     private static final double PRICE_STEP = 0.5; // of the price, added by each call
-    private static final double START_PRICE = 50; // multiple of the minimum price
+    private static final double INITIAL_PRICE_FACTOR = 50; // multiple of the minimum price
     private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
     private static final double MAX_SAVED_MS = 500; // of the rate: calls that may be made in one burst
     private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one requested call in the allowed share
@@ -39,7 +39,7 @@
     private boolean inSlowStart = true;
 
     CallBudget(double now, double timeoutMs, int gateways) {
-        this.rate = this.sustainedRate = Math.max(MIN_RATE, FLEET_START_RATE / gateways);
+        this.rate = this.sustainedRate = Math.max(MIN_RATE, INITIAL_FLEET_RATE / gateways);
         this.savedCalls = maxSavedCalls();
         this.timeoutMs = timeoutMs;
         this.savedCallsAt = this.pricedAt = this.repliedAt = now;
@@ -48,7 +48,7 @@
     /** Sets the minimum price: what the deployment charges for a call, or else a small share of the mean worth. */
     void updateMinPrice(double callPrice, double meanWorth) {
         double newMinPrice = Math.max(callPrice, MIN_PRICE_SHARE) * meanWorth;
-        if (minPrice == 0) price = START_PRICE * newMinPrice;
+        if (minPrice == 0) price = INITIAL_PRICE_FACTOR * newMinPrice;
         minPrice = newMinPrice;
     }
 
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -122,12 +122,12 @@
     private static final double MARGIN_STEP = 1.05;
 
     /** Initial margin: an admission without a counter call has to earn this many times its expected cost. */
-    private static final double MARGIN_START = 4;
+    private static final double INITIAL_MARGIN = 4;
 
-    private static final double MARGIN_MAX = 5;
+    private static final double MAX_MARGIN = 5;
 
     /** Largest use in a metered period that may be one gateway's own, in requests of the largest size. */
-    private static final double OWN_USE_REQUESTS = 1.5;
+    private static final double MAX_OWN_USE_REQUESTS = 1.5;
 
     /** Share of a unit's worth that a counter call saves by correcting the total by that unit. */
     private static final double CORRECTION_WORTH_SHARE = 0.3;
@@ -182,7 +182,7 @@
     private static final double BURST_HEADROOM = 0.7;
 
     /** Initial concurrency limit of a host, over all gateways. */
-    private static final double START_CONCURRENCY_PER_HOST = 6;
+    private static final double INITIAL_CONCURRENCY_PER_HOST = 6;
 
     /** Smallest concurrency limit of a host, over all gateways; with fewer its cores would idle. */
     private static final double MIN_CONCURRENCY_PER_HOST = 3;
@@ -370,7 +370,7 @@
     private AdmissionEstimate[] admissionEstimates;
 
     private final ExcessEstimate excessEstimate = new ExcessEstimate();
-    private double admissionMargin = MARGIN_START;
+    private double admissionMargin = INITIAL_MARGIN;
     private double counterRepliedAt = DecisionState.NEVER;
     private double meanWorth;
 
@@ -391,7 +391,7 @@
     private double baselineSum;
     private double goalShareSum;
     private int processCount = 1;
-    private double concurrencyPerHost = START_CONCURRENCY_PER_HOST;
+    private double concurrencyPerHost = INITIAL_CONCURRENCY_PER_HOST;
 
     /** Capacity of the eligible hosts, in warm hosts. */
     private double warmCapacity;
@@ -790,7 +790,7 @@
         excessEstimate.record(
                 request.worth() * chance, request.worth() * (1 - chance) * request.customer.plan.excessCost());
         double factor = excessEstimate.costShare() > MAX_EXCESS_COST_SHARE ? MARGIN_STEP : 1 / MARGIN_STEP;
-        admissionMargin = Math.max(1, Math.min(MARGIN_MAX, admissionMargin * factor));
+        admissionMargin = Math.max(1, Math.min(MAX_MARGIN, admissionMargin * factor));
     }
 
     /** The time for which a counter result or a meter reading counts as evidence. */
@@ -808,7 +808,7 @@
         boolean overQuota = meteredUnits
                 > Math.max(
                         quotaPerPeriod,
-                        OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
+                        MAX_OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
         return AdmissionEstimate.evidence(
                 request.details.retry(), overQuota, customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)));
     }
