--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -57,16 +57,16 @@
 
     private final class SeatServer {
         final String id;
-        final boolean isCold;
+        final boolean restartsCold;
         final ArrayDeque<Attempt> queue = new ArrayDeque<>();
         final List<Attempt> inService = new ArrayList<>();
         final List<Double> attemptTimes = new ArrayList<>(); // since its restart
         boolean up = true;
         double startedMs;
 
-        SeatServer(int number, boolean isCold) {
+        SeatServer(int number, boolean restartsCold) {
             id = "abc".charAt(number % 3) + "-" + Long.toHexString(random.nextLong());
-            this.isCold = isCold;
+            this.restartsCold = restartsCold;
         }
 
         Host toHost() {
@@ -160,7 +160,7 @@
 
     ColdServerSimulation run() {
         List<SeatServer> cold =
-                servers.values().stream().filter(server -> server.isCold).toList();
+                servers.values().stream().filter(server -> server.restartsCold).toList();
         scheduleAfter(200, this::requestArrives);
         scheduleAt(COLD_STOP_MS, () -> cold.forEach(SeatServer::stop));
         scheduleAt(COLD_STOP_MS, () -> announce(cold));
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void withoutAnswersTheOwnShareDecidesAndTheCounterGetsFewerCalls() {
+    void withoutRepliesTheOwnShareDecidesAndTheCounterGetsFewerCalls() {
         GatewayHarness.CounterCall call = requestUntilCounterCall();
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.TIMEOUT, 0);
         assertEquals(List.of("q" + (requests - 1)), gateway.refused);
--- a/src/test/java/deckfall/DecisionModuleTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void attemptsInFlightAreBoundedAndOtherRequestsAreHeldOrRefused() {
+    void attemptsInFlightAreBoundedAndOtherRequestsAreQueuedOrRefused() {
         // Incident ia17a29: without a bound, hosts were overloaded within seconds and stayed slow.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void freedPlaceGoesToAHeldRequest() {
+    void freedCapacityGoesToAQueuedRequest() {
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1");
         for (int i = 0; i < 30; i++) {
             gateway.request("r" + i, "read");
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -18,7 +18,7 @@
 /** Checks the five rules on requests, each on a single gateway. */
 class RequestRulesTest {
     @Test
-    void requestWithoutHostsIsHeldAndRefusedBeforeItsDeadline() {
+    void requestWithoutHostsIsQueuedAndRefusedBeforeItsDeadline() {
         GatewayHarness gateway = GatewayHarness.singleGateway();
         gateway.request("r", "pay");
         assertEquals(0, gateway.rejectionCount("r"));
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -21,7 +21,7 @@
     private static final double UNITS_BEYOND_ANY_QUOTA = 2 * (BURST_UNITS + WINDOW_MS / 1000.0);
 
     private static final double UNITS_PER_S = 1;
-    private static final double ANSWER_VALID_MS =
+    private static final double EVIDENCE_LIFETIME_MS =
             2 * 1000 * BURST_UNITS; // for which a reply is evidence of the quota level
 
     private GatewayHarness gateway;
@@ -78,7 +78,7 @@
                 .count();
     }
 
-    private void answer(GatewayHarness.CounterCall call, double total) {
+    private void reply(GatewayHarness.CounterCall call, double total) {
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
@@ -93,15 +93,15 @@
     void recentlyRefusedCustomerCausesNoFurtherCall() {
         start(1);
         GatewayHarness.CounterCall call = requestUntilCallFor(CUSTOMER);
-        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
-        answerCallsThatReturnUnits();
+        reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+        replyToCallsThatReturnUnits();
         int refusedBefore = gateway.refused.size();
-        for (double elapsedMs = 0; elapsedMs < ANSWER_VALID_MS - 1000; elapsedMs += 500) {
+        for (double elapsedMs = 0; elapsedMs < EVIDENCE_LIFETIME_MS - 1000; elapsedMs += 500) {
             request(CUSTOMER);
             gateway.advance(500);
         }
         assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
-        assertTrue(gateway.refused.size() - refusedBefore >= ANSWER_VALID_MS / 500 - 3);
+        assertTrue(gateway.refused.size() - refusedBefore >= EVIDENCE_LIFETIME_MS / 500 - 3);
     }
 
     /**
@@ -112,7 +112,7 @@
     void unitsOfARefusedCallAreReturned() {
         start(0.5);
         GatewayHarness.CounterCall call = requestUntilSampledCall();
-        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+        reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         gateway.advance(3000);
         double returnedUnits = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
@@ -131,7 +131,7 @@
                 if (call.amount() > 1.5) {
                     return call;
                 }
-                answer(call, allowedUnits(1000 + i, call) - BURST_UNITS + call.amount());
+                reply(call, allowedUnits(1000 + i, call) - BURST_UNITS + call.amount());
             }
             gateway.advance(2);
         }
@@ -139,10 +139,10 @@
     }
 
     /** Lets the gateway report the units that it returns, and answers those calls. */
-    private void answerCallsThatReturnUnits() {
+    private void replyToCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
-            answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+            reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         }
         gateway.counterCalls.clear();
     }
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -34,10 +34,10 @@
     private final Random random = new Random(5);
     private int requests;
     private int calls;
-    private boolean counterAnswers; // or all calls to it time out
+    private boolean counterResponds; // or all calls to it time out
 
-    private void startGateways(boolean answers) {
-        counterAnswers = answers;
+    private void startGateways(boolean responds) {
+        counterResponds = responds;
         for (int i = 0; i < GATEWAYS; i++) {
             Settings defaults = GatewayHarness.settings(i, GATEWAYS, i);
             gateways.add(new GatewayHarness(
@@ -96,7 +96,7 @@
         gateway.counterCalls.clear();
         for (GatewayHarness.CounterCall call : newCalls) {
             calls++;
-            Outcome outcome = counterAnswers ? Outcome.OK : Outcome.TIMEOUT;
+            Outcome outcome = counterResponds ? Outcome.OK : Outcome.TIMEOUT;
             gateway.module.counterCallEnded(
                     gateway.now,
                     call.counter(),
