--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -12,8 +12,8 @@
     private static final double MIN_RATE = 0.5; // calls per second: rare calls detect that the counter has recovered
     private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first congested reply
     private static final double GROWTH_SHARE = 0.2; // of the rate, each second after slow start
-    private static final double GROWTH_STEP = 0.1; // calls per second added each second, so that small shares catch up
-    private static final double RECOVERY_FACTOR = 5; // faster growth while far below the sustained rate
+    private static final double GROWTH_STEP = 0.1; // calls per second, each second, so that small shares catch up
+    private static final double RECOVERY_FACTOR = 5; // factor on the growth while far below the sustained rate
     private static final double RECOVERY_THRESHOLD = 0.6; // of the sustained rate
     private static final double MAX_CUT_SHARE = 0.15; // for a reply as late as the timeout; in proportion if earlier
     private static final double TIMELY_SHARE = 0.35; // of the timeout: slower calls are queueing at the counter
@@ -22,7 +22,7 @@
     private static final double PRICE_STEP = 0.5; // of the price, added by each call
     private static final double INITIAL_PRICE_FACTOR = 50; // multiple of the minimum price
     private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
-    private static final double MAX_SAVED_MS = 500; // of the rate: calls that may be made in one burst
+    private static final double MAX_SAVED_MS = 500; // calls that may be made at once, as time at the rate
     private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one requested call in the allowed share
 
     private final double timeoutMs;
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -118,10 +118,13 @@
     /** Upper limit of the expected cost of excess, as a share of the admitted worth. */
     private static final double MAX_EXCESS_COST_SHARE = 0.03;
 
-    /** Growth of the admission margin by each request admitted while that limit is exceeded. */
+    /**
+     * Factor by which each request that is admitted raises the admission margin while {@link #MAX_EXCESS_COST_SHARE} is
+     * exceeded, and lowers it otherwise.
+     */
     private static final double MARGIN_STEP = 1.05;
 
-    /** Initial margin: an admission without a counter call has to earn this many times its expected cost. */
+    /** Initial admission margin: an admission without a counter call has to earn this many times its expected cost. */
     private static final double INITIAL_MARGIN = 4;
 
     private static final double MAX_MARGIN = 5;
@@ -190,10 +193,10 @@
     /** Largest concurrency limit of a host, over all gateways; beyond it no host gains throughput. */
     private static final double MAX_CONCURRENCY_PER_HOST = 128;
 
-    /** Growth of the limit at each adjustment, while requests wait and hosts respond fast. */
+    /** Factor on the limit at each adjustment, while requests wait and hosts respond fast. */
     private static final double CONCURRENCY_INCREASE = 1.15;
 
-    /** Cut of the limit at each adjustment, while latency shows queueing at the hosts. */
+    /** Factor on the limit at each adjustment, while latency shows queueing at the hosts. */
     private static final double CONCURRENCY_DECREASE = 0.85;
 
     /** Interval between two adjustments of the limit. */
@@ -202,7 +205,7 @@
     /** Responses needed for an adjustment; with fewer, it waits for this many intervals. */
     private static final int CONCURRENCY_MIN_RESPONSES = 8;
 
-    /** Growth of the latency baseline at each adjustment, so that a lasting change becomes the new baseline. */
+    /** Factor on the latency baseline at each adjustment, so that a lasting change becomes the new baseline. */
     private static final double BASELINE_DRIFT = 1.002;
 
     /** Smallest weight of one response in the mean latency of a class. */
@@ -354,7 +357,7 @@
     private Settings settings;
     private Random random;
 
-    /** Identifies the time between two restarts of this gateway. */
+    /** Identifies this run of the gateway process: the time of its start, truncated to 32 bits. */
     private int epoch;
 
     private double startedAt;
@@ -672,8 +675,8 @@
     }
 
     /**
-     * Returns whether this gateway, as an owner, doesn't know the use before its start. That ends with a peer's
-     * message, or once the time since the start has refilled a whole burst, so that the earlier use no longer matters.
+     * Returns whether this gateway, as an owner, doesn't know the use before its start. This ends when a peer reports
+     * the level, or once the time since the start has refilled a whole burst, so that the earlier use no longer matters.
      */
     private boolean isUninformed(double now, CustomerState customer) {
         return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
@@ -1003,7 +1006,7 @@
         if (!request.closed) admitOrRefuse(now, request, admits);
     }
 
-    /** Learns from a result of the counter whether the quota had room on this evidence. */
+    /** Records for a customer and its plan whether the quota had room for a request, by a result of the counter. */
     private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
         CustomerState customer = request.customer;
         admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
@@ -1022,7 +1025,7 @@
                 && units * customer.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
-    /** Subtracts the others' use since the last total. A smaller total means that the counter name was started anew. */
+    /** Subtracts the others' use since the last total; a much smaller total is that of a counter that started anew. */
     private void applyCounterTotal(double now, CustomerState customer, double total) {
         boolean restarted = customer.counterTotalAt == DecisionState.NEVER || total < customer.counterTotal / 2;
         double othersUnits = total - customer.callUnits - (restarted ? 0 : customer.counterTotal);
@@ -1099,7 +1102,10 @@
                 request.details.id(), retryAfterMs(now, request.customer, request.details.units()), request.refusal);
     }
 
-    /** Skips owners that missed an answer for a while; only a missing answer shows that a peer doesn't respond. */
+    /**
+     * Asks the next owner where an answer is missing, and asks the silent one nothing more for a while. Only a missing
+     * answer shows that a peer doesn't respond.
+     */
     private void expireOwnerQueries(double now) {
         ownerQueries.removeIf(query -> query.closed || query.admitted);
         for (RequestState request :
@@ -1440,7 +1446,7 @@
         else actions.fail(request.details.id());
     }
 
-    /** Closes a request: its client waits for no response any more. Returns its units if it was never sent. */
+    /** Closes a request: its client waits for no response any more. If it was never sent, its units are returned. */
     private void closeRequest(double now, RequestState request) {
         if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
         if (request.closed) return;
@@ -1451,9 +1457,8 @@
         customer.pending.remove(request);
         if (!request.admitted) return;
         customer.openRequests--;
-        // The units of a request that was admitted but never sent are returned.
         if (request.attempts.stream().allMatch(attempt -> attempt.neverSent)) {
-            // They were subtracted here when the first attempt began.
+            // sendAttempt subtracted the units from the unsent ones when the first attempt began.
             customer.unsentUnits += request.attempts.isEmpty() ? 0 : request.details.units();
             charge(now, customer, -request.details.units(), -request.details.units());
             if (request.countedInTotal) addUnreported(customer, -request.details.units());
--- a/src/main/java/deckfall/wire/Fields.java
+++ b/src/main/java/deckfall/wire/Fields.java
@@ -101,7 +101,7 @@
         return has(name) ? intNumber(name) : defaultValue;
     }
 
-    /** A truth value, written as 1, true, 0 or false. */
+    /** A boolean, written as 1, true, 0 or false. */
     boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
         if (value == null) {
--- a/src/test/java/deckfall/CallBudgetTest.java
+++ b/src/test/java/deckfall/CallBudgetTest.java
@@ -17,8 +17,8 @@
     private double now;
 
     /**
-     * Lets the fleet want calls of two kinds, equally many of each, to a counter of this capacity; returns the number
-     * of calls made of each kind.
+     * Simulates a fleet that wants calls of two kinds, equally many of each, to a counter of this capacity. Returns the
+     * number of calls made of each kind.
      */
     private int[] simulateCalls(
             CallBudget[] fleet, double capacityPerSecond, int seconds, double lowSaving, double highSaving) {
--- a/src/test/java/deckfall/ColdServerBudgetTest.java
+++ b/src/test/java/deckfall/ColdServerBudgetTest.java
@@ -22,7 +22,7 @@
             assertTrue(
                     simulation.peakBudgetUse > 0 && simulation.peakBudgetUse <= 1,
                     seed + ": " + simulation.peakBudgetUse + " of the budget");
-            assertTrue(simulation.refused > 0, "no request was refused for want of a free place");
+            assertTrue(simulation.refused > 0, "no request was refused for lack of capacity");
             assertTrue(faults.failureRate() == 0 || simulation.retries > 0, "no request was retried");
         }
     }
--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -25,13 +25,13 @@
  */
 final class ColdServerSimulation {
     private static final int GATEWAYS = 30;
-    private static final int SLOTS = 4;
+    private static final int SLOTS = 4; // requests that a server runs at a time
     private static final int QUEUE_PLACES = 4 * SLOTS; // for requests that wait for a slot
     private static final double MEAN_SERVICE_MS = 200; // on a warm server
     private static final double WARM_UTILIZATION = 0.6; // of the capacity of all servers
     private static final double BURST_FACTOR = 1.5; // times the request rate, from COLD_STOP_MS on
     private static final double COLD_STOP_MS = 5000; // time at which the servers stop that restart cold
-    private static final double COLD_RESTART_MS = 6500;
+    private static final double COLD_RESTART_MS = 6500; // time at which they restart
     private static final double END_MS = 14_500;
     private static final double OVERLAP_MS = 1000; // time for which an old and a new process of a gateway both serve
 
@@ -139,7 +139,7 @@
     double allowedAttempts; // sum of the budgets over the whole time
     int attemptsToColdServers;
     int retries; // attempts after the first one of a request
-    int refused; // requests, since the servers have restarted
+    int refused; // requests refused since the servers restarted
 
     ColdServerSimulation(long seed, Rules rules, int count, int cold, Faults faults) {
         this.seed = seed;
@@ -268,7 +268,7 @@
         double perMs =
                 WARM_UTILIZATION * servers.size() * SLOTS / MEAN_SERVICE_MS * (now >= COLD_STOP_MS ? BURST_FACTOR : 1);
         scheduleAfter(-Math.log(1 - random.nextDouble()) / perMs, this::requestArrives);
-        double drawn = random.nextDouble(); // skewed below: some gateways receive several times the mean
+        double drawn = random.nextDouble(); // skewed below, so that some gateways receive several times the mean
         List<GatewayHarness> gatewayProcesses = processes.get((int) (drawn * Math.sqrt(drawn) * GATEWAYS));
         GatewayHarness gateway = gatewayProcesses.get(random.nextInt(gatewayProcesses.size()));
         advance(gateway);
@@ -278,7 +278,7 @@
         advance(gateway);
     }
 
-    /** Fires the gateway's timers and carries out its actions. */
+    /** Fires the gateway's timers and performs its actions. */
     private void advance(GatewayHarness gateway) {
         gateway.runUntil(now);
         while (!gateway.sent.isEmpty() || !gateway.cancelled.isEmpty()) {
--- a/src/test/java/deckfall/CounterTest.java
+++ b/src/test/java/deckfall/CounterTest.java
@@ -59,7 +59,7 @@
         return gateway.counterCalls.get(gateway.counterCalls.size() - 1);
     }
 
-    /** Without this, a customer that is rare at most gateways would have a share of less than one request at each. */
+    /** A customer that sends little to most gateways would otherwise have a share of less than one request at each. */
     @Test
     void firstRequestOfASmallBurstIsAdmitted() {
         assertEquals(1, gateway.attemptCount(request()));
@@ -78,7 +78,7 @@
     void pendingRequestIsAdmittedWhenTheCounterShowsRoom() {
         GatewayHarness.CounterCall call = requestUntilCounterCall();
         gateway.module.counterCallEnded(
-                gateway.now, call.counter(), Outcome.OK, call.amount()); // no other gateway used any units
+                gateway.now, call.counter(), Outcome.OK, call.amount()); // no other gateway has used any units
         assertEquals(1, gateway.attemptCount("q" + (requests - 1)));
     }
 
--- a/src/test/java/deckfall/DecisionModuleTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -187,9 +187,8 @@
 
     @Test
     void hostThatFailsOneClassStillServesTheOthers() {
-        // Run port-louis-archi-later, overload 0.28: hosts that did not answer one class counted as slow for all
-        // classes,
-        // and still received that class.
+        // Run port-louis-archi-later, overload 0.28: hosts that did not respond to one class counted as slow for all
+        // classes, and still received requests of that class.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         int failingAttempts = 0;
         int otherAttempts = 0;
@@ -209,9 +208,8 @@
 
     @Test
     void hundredsOfGatewaysSpreadTheirConnectionsEvenly() {
-        // Incident i2e3387: every gateway connected to every host, and connection tables full of idle connections
-        // refused
-        // new ones.
+        // Incident i2e3387: every gateway connected to every host, and hosts whose connection tables were full of idle
+        // connections refused new ones.
         String[] hosts = IntStream.range(0, 65)
                 .mapToObj(i -> "abc".charAt(i % 3) + "" + i)
                 .toArray(String[]::new);
@@ -237,7 +235,7 @@
 
     @Test
     void hostThatRefusesAConnectionIsAvoidedAtOnce() {
-        // Incident i412b8a: a gateway without a connection to hosts with full connection tables tried them again and
+        // Incident i412b8a: a gateway that had no connection to hosts with full connection tables tried them again and
         // again.
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1", "a2", "a3");
         gateway.request("r", "read");
--- a/src/test/java/deckfall/GatewayHarness.java
+++ b/src/test/java/deckfall/GatewayHarness.java
@@ -135,7 +135,7 @@
                 + failed.stream().filter(id::equals).count();
     }
 
-    /** Fires the timers that are due until then, and sets the clock. */
+    /** Fires the timers that are due by this time, and sets the clock to it. */
     void runUntil(double endMs) {
         while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
             Timer timer = timers.poll();
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks the five rules on requests, each on a single gateway. */
+/** Checks the five rules of {@link DecisionModule} on requests, each on a single gateway. */
 class RequestRulesTest {
     @Test
     void requestWithoutHostsIsQueuedAndRefusedBeforeItsDeadline() {
@@ -133,9 +133,8 @@
                 .skip(sentBefore)
                 .filter(s -> s.host().equals("c1"))
                 .count();
-        // 50 requests are sent in a second, half of them to each warm host. The cold host may get 0.2 x 2 of 25, which
-        // is
-        // 10, from all gateways together.
+        // 50 requests are sent in a second, half of them to each warm host. The cold host may get 0.2 x 2 of these 25,
+        // which is 10, from all gateways together.
         assertTrue(coldAttempts >= 1 && coldAttempts < 10, "cold host got " + coldAttempts);
     }
 
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -16,18 +16,20 @@
     private static final int GATEWAYS = 60;
     private static final long CUSTOMER = 42;
     private static final double BURST_UNITS = 4;
-    private static final long WINDOW_MS = 60_000; // that one counter name covers
+    private static final long WINDOW_MS = 60_000; // time that one counter name covers
+
     /** Use that leaves nothing of the quota. */
     private static final double UNITS_BEYOND_ANY_QUOTA = 2 * (BURST_UNITS + WINDOW_MS / 1000.0);
 
     private static final double UNITS_PER_S = 1;
-    private static final double EVIDENCE_LIFETIME_MS =
-            2 * 1000 * BURST_UNITS; // for which a reply is evidence of the quota level
+
+    /** Time for which a reply is evidence of the quota level: that in which two bursts refill, at one unit a second. */
+    private static final double EVIDENCE_LIFETIME_MS = 2 * 1000 * BURST_UNITS;
 
     private GatewayHarness gateway;
     private int requests;
 
-    /** Excess costs this share of its worth, which decides how many requests it pays to admit on an estimate. */
+    /** Starts a gateway; the cost of excess, as a share of worth, decides how many requests are admitted without a call. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
         Settings defaults = GatewayHarness.settings(0, GATEWAYS);
@@ -82,7 +84,7 @@
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
-    /** The units that the customer may have used since the window of the counter name began. */
+    /** The units that the customer may use from the start of the counter name's window up to now. */
     private double allowedUnits(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
@@ -138,7 +140,7 @@
         throw new AssertionError("each request caused a call");
     }
 
-    /** Lets the gateway report the units that it returns, and answers those calls. */
+    /** Waits for the calls that return units, and replies to them. */
     private void replyToCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
--- a/src/test/java/deckfall/WideSetTest.java
+++ b/src/test/java/deckfall/WideSetTest.java
@@ -34,7 +34,7 @@
     private final Random random = new Random(5);
     private int requests;
     private int calls;
-    private boolean counterResponds; // or all calls to it time out
+    private boolean counterResponds; // otherwise all calls to it time out
 
     private void startGateways(boolean responds) {
         counterResponds = responds;
