--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -545,7 +545,7 @@
 
     // ---- admission by a gateway's own share
 
-    /** The decision on a request, or whom to ask for it. */
+    /** The decision on a request, or what it depends on: an owner's answer or the counter. */
     private enum AdmissionVerdict {
         ADMIT,
         REFUSE,
@@ -675,14 +675,15 @@
     }
 
     /**
-     * Returns whether this gateway, as an owner, doesn't know the use before its start. This ends when a peer reports
-     * the level, or once the time since the start has refilled a whole burst, so that the earlier use no longer matters.
+     * Returns whether this gateway, as an owner, doesn't know the use before its start. This ends when a peer
+     * reports the level, or once the time since the start has refilled a whole burst, so that the earlier use no longer
+     * matters.
      */
     private boolean isUninformed(double now, CustomerState customer) {
         return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
     }
 
-    /** Decides whether to admit a request, and if that isn't known here, whom to ask. */
+    /** Decides whether to admit a request or, if this gateway can't decide it, whether an owner or the counter does. */
     private AdmissionVerdict decideAdmission(double now, RequestState request) {
         CustomerState customer = request.customer;
         double units = request.details.units();
@@ -723,7 +724,7 @@
                         < settings.coordination().maxUnitsPerRequest();
     }
 
-    /** Returns whether a share shows nothing of the whole quota, so that the counter is asked as far as possible. */
+    /** Returns whether a share shows nothing of the whole quota, so that the counter is called as often as possible. */
     private boolean hasWideSet(CustomerState customer) {
         return hasTooSmallShares(customer)
                 && customer.plan.capRate() <= 0
@@ -1103,8 +1104,8 @@
     }
 
     /**
-     * Asks the next owner where an answer is missing, and asks the silent one nothing more for a while. Only a missing
-     * answer shows that a peer doesn't respond.
+     * Passes queries without an answer to the next owner, and sends the silent one no further queries for a while. Only
+     * a missing answer shows that a peer doesn't respond.
      */
     private void expireOwnerQueries(double now) {
         ownerQueries.removeIf(query -> query.closed || query.admitted);
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -55,8 +55,8 @@
         final ArrayDeque<RequestState> queue = new ArrayDeque<>();
         double weight;
         double virtualTime;
-        double latencyPerUnit;
-        double baselineLatency;
+        double latencyPerUnit; // mean, in ms
+        double baselineLatency; // ms per unit while the hosts don't queue
         int samples;
         double releasedAt = NEVER;
         double meanReleaseGap;
@@ -153,8 +153,8 @@
         double quotaLevel; // the whole quota's bucket: booked use at an owner, elsewhere an upper limit
         double capTokens;
         double refilledAt;
-        double demand;
-        double othersDemand; // units a second, of the other gateways
+        double demand; // units a second, at this gateway
+        double othersDemand; // units a second, at the other gateways
         int othersOpenRequests;
         double usedUnits;
         double unsentUnits; // cap units of admitted requests that are not sent yet
@@ -225,7 +225,7 @@
             if (unreportedUnits > 0) unreportedUnits = Math.max(0, unreportedUnits - units);
         }
 
-        /** Starts a call that adds all unreported units and asks for all pending requests. */
+        /** Starts a call that adds all unreported units, and whose result decides on all pending requests. */
         void beginCall(double now) {
             callRequests = new ArrayList<>(pending);
             pending.clear();
@@ -263,7 +263,7 @@
             return Long.parseLong(name, 1, end, 16);
         }
 
-        /** What another process of this gateway needs to know of the customer. */
+        /** The part of the state that another process of this gateway needs. */
         Gateway.CustomerSnapshot snapshot() {
             return new Gateway.CustomerSnapshot(
                     id,
--- a/src/main/java/deckfall/PeerMessage.java
+++ b/src/main/java/deckfall/PeerMessage.java
@@ -35,6 +35,10 @@
      * of used units, the units wanted in addition, the gateway's demand and, if it has one, its view of the quota
      * level. An answer from an owner carries the units booked, the units granted of those wanted, the demand of the
      * other gateways, the quota level and the running total of cap units given in the receiver's epoch.
+     *
+     * @param cap in a report, whether the wanted units exceed the gateway's share of the cap; in an answer, whether it
+     *     carries the total of cap units given
+     * @param uninformed in an answer, whether the owner doesn't know the use before its start
      */
     record Entry(
             boolean answer,
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -29,7 +29,7 @@
     private GatewayHarness gateway;
     private int requests;
 
-    /** Starts a gateway; the cost of excess, as a share of worth, decides how many requests are admitted without a call. */
+    /** Starts a gateway; the less excess costs, relative to its worth, the more requests it admits on an estimate. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
         Settings defaults = GatewayHarness.settings(0, GATEWAYS);
