--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -69,7 +69,7 @@
                     plan.name(),
                     plan.rate() * rateFactor,
                     plan.burst() * rateFactor,
-                    options.maxOpenAttempts,
+                    options.maxOpenRequests,
                     plan.valueFactor(),
                     plan.excessWorth(),
                     plan.excessCost(),
@@ -167,8 +167,8 @@
         return plans.get(planIndexes[customer]);
     }
 
-    /** The id of a customer in the requests to the gateways. */
-    long gatewayId(int customer) {
+    /** The id by which requests to the gateways identify a customer. */
+    long customerId(int customer) {
         return HashRandom.mix(customer, 2) & 0x1FFFFFFFFL;
     }
 
