--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -52,7 +52,7 @@
     private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain checks whether all requests are answered
     private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the metrics on hosts are updated
     private static final int BUFFER_HEAP_DIVISOR = 4; // buffers of client and host data may use 1/4 of the heap
-    private static final double MIN_BODY_BYTES_PER_MS = 64; // the slowest rate at which a client may send a body
+    private static final double ASSUMED_BODY_BYTES_PER_MS = 64; // the slowest rate at which a client may send a body
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_LOAD_METRICS = new double[0];
 
@@ -503,7 +503,7 @@
     void requestReceived(Request parsed, IncomingRequest message, ClientConnection client) {
         Request request = message.complete()
                 ? parsed
-                : withDeadline(parsed, parsed.id(), message.remainingBytes() / MIN_BODY_BYTES_PER_MS);
+                : withDeadline(parsed, parsed.id(), message.remainingBytes() / ASSUMED_BODY_BYTES_PER_MS);
         String id = request.id();
         while (openRequests.containsKey(id)) { // the module identifies requests by id, and a client may repeat an id
             id = request.id() + '#' + ++duplicateIds;
