--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -59,8 +59,9 @@
     // of the time after which a host may close an idle connection
     private static final double IDLE_LIMIT_FRACTION = 0.6;
     private static final double MIN_IDLE_LIMIT_MS = 50; // a close after a shorter idle time does not lower the limit
-    private static final double IDLE_LIMIT_DECREASE = 0.8; // of the idle time at which a host closed a connection
-    private static final double IDLE_LIMIT_GROWTH = 1.02; // per sweep, to recover from a period of early closes
+    private static final double IDLE_LIMIT_DECREASE_FACTOR =
+            0.8; // of the idle time at which a host closed a connection
+    private static final double IDLE_LIMIT_GROWTH_FACTOR = 1.02; // per sweep, to recover from a period of early closes
     // after a write; a reset within this time means that the host had closed the connection before it
     private static final double STALE_CONNECTION_MS = 50;
     // a duplicate of a response may arrive some milliseconds after it
@@ -193,7 +194,7 @@
          */
         void lowerIdleLimit(double idleMs) {
             if (idleMs > MIN_IDLE_LIMIT_MS) {
-                idleLimitMs = Math.max(MIN_IDLE_LIMIT_MS, Math.min(idleLimitMs, idleMs * IDLE_LIMIT_DECREASE));
+                idleLimitMs = Math.max(MIN_IDLE_LIMIT_MS, Math.min(idleLimitMs, idleMs * IDLE_LIMIT_DECREASE_FACTOR));
             }
         }
 
@@ -204,7 +205,7 @@
 
         /** Raises the idle limit by one step, up to the limit from the settings. */
         void raiseIdleLimit() {
-            idleLimitMs = Math.min(maxIdleLimitMs, idleLimitMs * IDLE_LIMIT_GROWTH);
+            idleLimitMs = Math.min(maxIdleLimitMs, idleLimitMs * IDLE_LIMIT_GROWTH_FACTOR);
         }
     }
 
