--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -11,14 +11,14 @@
 
 /** Tests when a request may be sent to a server. */
 class DispatchRuleTest {
-    private static final double DEADLINE = 1000;
+    private static final double DEADLINE_MS = 1000;
     private static final int MAX_ATTEMPTS = 3;
 
-    private final MemoryBudget room = new MemoryBudget(1 << 20);
+    private final MemoryBudget memoryBudget = new MemoryBudget(1 << 20);
     private final OpenRequest request = new OpenRequest(
-            new Request("r", DEADLINE, false, "view", 1, "free", 1, 0, 1),
+            new Request("r", DEADLINE_MS, false, "view", 1, "free", 1, 0, 1),
             new IncomingRequest(
-                    new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/view"), "/view", room, 0),
+                    new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/view"), "/view", memoryBudget, 0),
             "r",
             null);
 
@@ -28,9 +28,9 @@
 
     @Test
     void attemptIsAllowedUntilTheDeadlineAndTheAttemptLimit() {
-        assertEquals(Verdict.ALLOWED, check(MAX_ATTEMPTS - 1, DEADLINE - 1, false));
-        assertEquals(Verdict.ATTEMPTS_USED, check(MAX_ATTEMPTS, DEADLINE - 1, false));
-        assertEquals(Verdict.DEADLINE_PASSED, check(0, DEADLINE, false));
+        assertEquals(Verdict.ALLOWED, check(MAX_ATTEMPTS - 1, DEADLINE_MS - 1, false));
+        assertEquals(Verdict.ATTEMPTS_USED, check(MAX_ATTEMPTS, DEADLINE_MS - 1, false));
+        assertEquals(Verdict.DEADLINE_PASSED, check(0, DEADLINE_MS, false));
         assertEquals(Verdict.SHUT_DOWN, check(0, 0, true));
     }
 
--- a/src/test/java/deckfall/net/FailureStreakTest.java
+++ b/src/test/java/deckfall/net/FailureStreakTest.java
@@ -31,7 +31,7 @@
      * A read that failed with no data pending once made the client's next request, seconds later, overdue by as much.
      */
     @Test
-    void oldFailureStartsNoStreak() {
+    void oldFailureIsNotPartOfAStreak() {
         streak.recordFailure();
         advanceMs(3000);
         assertFalse(streak.isActive());
