--- a/src/main/java/deckfall/net/Discovery.java
+++ b/src/main/java/deckfall/net/Discovery.java
@@ -188,7 +188,7 @@
             if (full && !node.warmingUp()) {
                 Node.log("discovery: full list of " + entries.size() + ", version " + version + ", from " + address);
             }
-            // shows when each drain arrived, which is the first question after a lost request
+            // if a drain was not obeyed, the first question is when it arrived here
             if (!full && !entries.isEmpty()) {
                 Node.log("discovery: version " + version + ", " + describeChanges(entries) + ", at "
                         + (long) node.clock.now());
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -58,7 +58,8 @@
     private static final int MAX_USED_PCT = 100_000; // a larger value makes no difference to a gateway
     // of the time after which a host may close an idle connection
     private static final double IDLE_LIMIT_FRACTION = 0.6;
-    private static final double MIN_IDLE_LIMIT_MS = 50; // a close after a shorter idle time does not lower the limit
+    // a close after a shorter idle time says nothing about the host's idle timeout
+    private static final double MIN_IDLE_LIMIT_MS = 50;
     private static final double IDLE_LIMIT_DECREASE_FACTOR =
             0.8; // of the idle time at which a host closed a connection
     private static final double IDLE_LIMIT_GROWTH_FACTOR = 1.02; // per sweep, to recover from a period of early closes
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -52,7 +52,7 @@
     private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain checks whether all requests are answered
     private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the metrics on hosts are updated
     private static final int BUFFER_HEAP_DIVISOR = 4; // buffers of client and host data may use 1/4 of the heap
-    private static final double ASSUMED_BODY_BYTES_PER_MS = 64; // the slowest rate at which a client may send a body
+    private static final double ASSUMED_BODY_BYTES_PER_MS = 64; // for the missing part of a body, at least
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_LOAD_METRICS = new double[0];
 
@@ -498,7 +498,7 @@
     /**
      * Accepts a request from a client, complete or with the part of its body that is buffered so far. The new entry
      * owns the message from here on. The client's deadline counts from the last byte of its request, so the decision
-     * module is given the latest deadline that an incomplete body may lead to.
+     * module is given the deadline that results if the rest of the body arrives at the slowest rate assumed.
      */
     void requestReceived(Request parsed, IncomingRequest message, ClientConnection client) {
         Request request = message.complete()
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -45,7 +45,7 @@
     private static final int HEX_RADIX = 16;
     private static final String OPERATOR_KEY = "operator";
     private static final int DEFAULT_SOCKETS = 1024;
-    private static final int WARM_UP_SOCKETS = 32; // as a serving process may hold all the others
+    private static final int WARM_UP_SOCKETS = 32; // as a process that serves beside it may hold all the others
     private static final double DEFAULT_CONNECTION_IDLE_MS = 15_000;
     private static final double DEFAULT_COUNTER_TIMEOUT_MS = 80;
     private static final double DEFAULT_MAX_OPEN_REQUESTS = 20_000;
@@ -135,7 +135,10 @@
                 (int) fields.number("limits.max_open", DEFAULT_MAX_OPEN_REQUESTS));
     }
 
-    /** Whether the known list contains changes, which means that the gateway had it in use before a restart. */
+    /**
+     * Whether the known list includes changes, that is, has a version above 0: then the gateway had it in use before a
+     * restart.
+     */
     boolean wasInService() {
         return knownList.path("version").asLong() > 0;
     }
--- a/src/main/java/deckfall/net/StaleListFilter.java
+++ b/src/main/java/deckfall/net/StaleListFilter.java
@@ -15,7 +15,7 @@
 final class StaleListFilter {
     private static final int MAX_HOSTS = 4096;
 
-    /** That a host drains or is gone, and the start time of the process to which this applies. */
+    /** The state of a host that drains or is gone, and the start time of the process to which it applies. */
     private record Tombstone(HostState state, double startedMs) {}
 
     private final Map<String, Double> latestStartMs = bounded();
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -26,7 +26,7 @@
 public final class WarmUp {
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
     private static final int MAX_REQUESTS = 400; // by then most methods that handle a request are compiled
-    private static final long MAX_DURATION_MS = 3000; // time limit of a warm-up
+    private static final long MAX_DURATION_MS = 3000;
     private static final int MAX_HEAD_BYTES = 512; // enough for the head of a response
     private static final String CONFIG_TEMPLATE = """
             {"name": "rehearsal", "listen": "%1$s", "discovery": "%1$s", "seed": "1", "peer_listen": "%1$s",
