--- a/src/main/java/deckfall/soak/GatewayUnderTest.java
+++ b/src/main/java/deckfall/soak/GatewayUnderTest.java
@@ -22,11 +22,15 @@
 import java.util.stream.Stream;
 
 /**
- * One gateway and the processes that serve as it: at a listener of its own, or at one that this program holds and each
- * process inherits. All processes end with {@link #close}.
+ * One gateway and its processes. Each process either opens the listening socket itself, or inherits one that a helper
+ * process holds, so that two processes can serve at once. {@link #close} kills all of them.
  */
 final class GatewayUnderTest implements AutoCloseable {
-    /** Holds a listener; for each line, of tab-separated variables, starts the program on it as descriptor 0. */
+    /**
+     * Perl program that holds a listening socket and prints its port. For each input line, made of a log file and
+     * environment variables separated by tabs, it starts the gateway with the socket as descriptor 0 and prints the
+     * process id.
+     */
     private static final String LISTENER_HOLDER = """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(L, PF_INET, SOCK_STREAM, 0) && setsockopt(L, SOL_SOCKET, SO_REUSEADDR, 1)
@@ -45,92 +49,95 @@
             }
             """;
 
-    private static final int LEAST_PORT = 12_000; // below those that the system gives to outgoing connections
+    private static final int FIRST_PORT = 12_000; // below the ephemeral ports of the system
     private static final int PORT_MASK = 0x3fff;
+    private static final int PORTS_PER_TEST_PROCESS = 64;
     private static final AtomicInteger NEXT_PORT =
-            new AtomicInteger((int) ProcessHandle.current().pid() * 64);
-    private static final String EVENT_LOOP = "nioEventLoop"; // a thread's name begins so
+            new AtomicInteger((int) ProcessHandle.current().pid() * PORTS_PER_TEST_PROCESS);
+    private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
     private static final double NANOS_PER_MS = 1e6;
-    private static final int CALL_MS = 500; // to the operator's address
+    private static final int CALL_TIMEOUT_MS = 500; // of a call to the operator's address or of kill(1)
 
-    /** One process, with what has been asked of it. */
-    static final class Member {
+    /** One process of the gateway. */
+    static final class GatewayProcess {
         final ProcessHandle handle;
-        final InetSocketAddress operator;
+        final InetSocketAddress operatorAddress;
         final String faults;
-        private final Map<Path, Long> runDelays = new HashMap<>();
-        volatile boolean endAsked;
+        private final Map<Path, Long> runDelaysNanos = new HashMap<>();
+        volatile boolean endRequested; // whether its exit is expected
 
-        Member(ProcessHandle handle, InetSocketAddress operator, String faults) {
+        GatewayProcess(ProcessHandle handle, InetSocketAddress operatorAddress, String faults) {
             this.handle = handle;
-            this.operator = operator;
+            this.operatorAddress = operatorAddress;
             this.faults = faults;
         }
 
-        boolean alive() {
+        boolean isAlive() {
             return handle.isAlive();
         }
 
-        /** Whether it says that it takes clients. */
-        boolean ready() {
-            return "ACK".equals(call("health"));
+        /** Whether the process reports that it accepts clients. */
+        boolean isReady() {
+            return "ACK".equals(callOperator("health"));
         }
 
-        /** Whether it can be asked at all. */
-        boolean reachable() {
-            return call("health") != null;
+        /** Whether the process responds at its operator's address. */
+        boolean isReachable() {
+            return callOperator("health") != null;
         }
 
-        private String call(String line) {
-            try (Socket s = new Socket()) {
-                s.connect(operator, CALL_MS);
-                s.setSoTimeout(CALL_MS);
-                s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-                InputStream in = s.getInputStream();
+        /** The response of the operator's address; null if there is none. */
+        private String callOperator(String line) {
+            try (Socket socket = new Socket()) {
+                socket.connect(operatorAddress, CALL_TIMEOUT_MS);
+                socket.setSoTimeout(CALL_TIMEOUT_MS);
+                socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+                InputStream in = socket.getInputStream();
                 return new String(in.readAllBytes(), StandardCharsets.US_ASCII).trim();
             } catch (IOException e) {
                 return null;
             }
         }
 
+        /** Sends a signal, such as {@code TERM}. */
         void signal(String name) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + name, Long.toString(handle.pid()))
                     .start()
-                    .waitFor(CALL_MS, TimeUnit.MILLISECONDS);
+                    .waitFor(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         /**
-         * For how long an event loop of the process was ready to run and did not, since the last call: the machine's
-         * delay, which the kernel counts for each thread.
+         * The longest time that an event loop thread was runnable but not scheduled since the last call, as the kernel
+         * counts it for each thread.
          */
         double runDelayMs() {
-            double most = 0;
+            double maxMs = 0;
             try (Stream<Path> threads = Files.list(Path.of("/proc/" + handle.pid() + "/task"))) {
                 for (Path thread : threads.toList()) {
-                    most = Math.max(most, runDelayMs(thread));
+                    maxMs = Math.max(maxMs, runDelayMs(thread));
                 }
             } catch (IOException | UncheckedIOException e) {
-                return 0; // it has ended
+                return 0; // the process has ended
             }
-            return most;
+            return maxMs;
         }
 
         private double runDelayMs(Path thread) throws IOException {
-            if (!Files.readString(thread.resolve("comm")).startsWith(EVENT_LOOP)) {
+            if (!Files.readString(thread.resolve("comm")).startsWith(EVENT_LOOP_THREAD_PREFIX)) {
                 return 0;
             }
             long nanos =
                     Long.parseLong(Files.readString(thread.resolve("schedstat")).split(" ")[1]);
-            Long before = runDelays.put(thread, nanos);
-            return before == null ? 0 : (nanos - before) / NANOS_PER_MS;
+            Long previous = runDelaysNanos.put(thread, nanos);
+            return previous == null ? 0 : (nanos - previous) / NANOS_PER_MS;
         }
 
-        /** How many of its descriptors are sockets. */
-        long sockets() {
+        /** The number of sockets that the process has open. */
+        long countSockets() {
             try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + handle.pid() + "/fd"))) {
-                return descriptors.filter(Member::isSocket).count();
+                return descriptors.filter(GatewayProcess::isSocket).count();
             } catch (IOException | UncheckedIOException e) {
-                return 0; // it has ended
+                return 0; // the process has ended
             }
         }
 
@@ -138,124 +145,139 @@
             try {
                 return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
             } catch (IOException e) {
-                return false; // closed meanwhile
+                return false; // closed in the meantime
             }
         }
     }
 
     final int number;
-    final boolean inherits;
+    final boolean inheritsListener;
     final Path folder;
-    final int sockets;
-    final List<Member> members = new CopyOnWriteArrayList<>();
+    final int maxSockets;
+    final List<GatewayProcess> processes = new CopyOnWriteArrayList<>();
     private final List<String> command;
-    private final FaultShim shim;
-    private final Process holder; // of the listener; null where each process has its own
-    private BufferedReader said;
-    private OutputStream orders;
+    private final FaultLibrary faultLibrary;
+    private final Process listenerHolder; // null if each process opens its own listener
+    private BufferedReader holderOutput;
+    private OutputStream holderInput;
     private final int port;
-    private int started;
+    private int startedCount;
 
-    GatewayUnderTest(int number, boolean inherits, int sockets, Path folder, FaultShim shim, List<String> command)
+    GatewayUnderTest(
+            int number,
+            boolean inheritsListener,
+            int maxSockets,
+            Path folder,
+            FaultLibrary faultLibrary,
+            List<String> command)
             throws IOException {
         this.number = number;
-        this.inherits = inherits;
-        this.sockets = sockets;
+        this.inheritsListener = inheritsListener;
+        this.maxSockets = maxSockets;
         this.folder = Files.createDirectories(folder);
-        this.shim = shim;
+        this.faultLibrary = faultLibrary;
         this.command = command;
         Files.createDirectories(folder.resolve("tmp"));
-        holder = inherits ? hold() : null;
-        port = inherits ? Integer.parseInt(said.readLine()) : freePort();
+        listenerHolder = inheritsListener ? startListenerHolder() : null;
+        port = inheritsListener ? Integer.parseInt(holderOutput.readLine()) : freePort();
     }
 
-    private Process hold() throws IOException {
-        ProcessBuilder b = new ProcessBuilder("perl", "-e", LISTENER_HOLDER);
-        b.command().addAll(limited());
-        Process started = b.redirectError(folder.resolve("holder.log").toFile()).start();
-        said = started.inputReader();
-        orders = started.getOutputStream();
-        return started;
+    private Process startListenerHolder() throws IOException {
+        ProcessBuilder builder = new ProcessBuilder("perl", "-e", LISTENER_HOLDER);
+        builder.command().addAll(commandWithDescriptorLimit());
+        Process process =
+                builder.redirectError(folder.resolve("holder.log").toFile()).start();
+        holderOutput = process.inputReader();
+        holderInput = process.getOutputStream();
+        return process;
     }
 
-    /** The program's command with the limit on descriptors that the platform sets. */
-    private List<String> limited() {
+    /** The gateway's command line under the limit on open descriptors. */
+    private List<String> commandWithDescriptorLimit() {
         return Stream.concat(
-                        Stream.of("/bin/sh", "-c", "ulimit -n " + sockets + "; exec \"$0\" \"$@\""), command.stream())
+                        Stream.of("/bin/sh", "-c", "ulimit -n " + maxSockets + "; exec \"$0\" \"$@\""),
+                        command.stream())
                 .toList();
     }
 
-    /** A port that no outgoing connection is given, as it has to stay free while a process is replaced. */
+    /**
+     * A free port outside the ephemeral range: an outgoing connection must not take it while a process is restarted.
+     */
     static int freePort() throws IOException {
         while (true) {
-            int port = LEAST_PORT + (NEXT_PORT.getAndIncrement() & PORT_MASK);
-            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return free.getLocalPort();
+            int port = FIRST_PORT + (NEXT_PORT.getAndIncrement() & PORT_MASK);
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (BindException e) {
-                // in use; the next one may be free
+                // in use; tries the next port
             }
         }
     }
 
+    /** The address at which the gateway serves clients. */
     InetSocketAddress address() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Replaces the configuration that processes read from here on. */
+    /** Overwrites the configuration file that the processes read. */
     void configure(String json) throws IOException {
         Files.writeString(folder.resolve("config.json"), json);
     }
 
-    /** Starts one more process. */
-    Member start(String faults) throws IOException {
+    /** Starts another process with a fault plan. */
+    GatewayProcess start(String faults) throws IOException {
         int operatorPort = freePort();
-        Path log = folder.resolve("log." + ++started);
+        Path log = folder.resolve("log." + ++startedCount);
         Files.writeString(log, "faults: " + faults + "\n");
         List<String> variables = List.of(
                 "NODE_NAME=n" + number,
                 "NODE_CONFIG=" + folder.resolve("config.json"),
                 "NODE_OPERATOR=127.0.0.1:" + operatorPort,
                 "TMPDIR=" + folder.resolve("tmp"),
-                "LD_PRELOAD=" + shim.library(),
-                FaultShim.PLAN_VARIABLE + "=" + faults);
-        ProcessHandle handle = inherits ? startInheriting(log, variables) : startAlone(log, variables);
-        InetSocketAddress operator = new InetSocketAddress(InetAddress.getLoopbackAddress(), operatorPort);
-        Member member = new Member(handle, operator, faults);
-        members.add(member);
-        return member;
+                "LD_PRELOAD=" + faultLibrary.path(),
+                FaultLibrary.PLAN_VARIABLE + "=" + faults);
+        ProcessHandle handle =
+                inheritsListener ? startWithInheritedListener(log, variables) : startWithOwnListener(log, variables);
+        InetSocketAddress operatorAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), operatorPort);
+        GatewayProcess process = new GatewayProcess(handle, operatorAddress, faults);
+        processes.add(process);
+        return process;
     }
 
-    private ProcessHandle startAlone(Path log, List<String> variables) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(limited())
+    private ProcessHandle startWithOwnListener(Path log, List<String> variables) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(commandWithDescriptorLimit())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        for (String v : variables) {
-            int equals = v.indexOf('=');
-            b.environment().put(v.substring(0, equals), v.substring(equals + 1));
+        for (String variable : variables) {
+            int equals = variable.indexOf('=');
+            builder.environment().put(variable.substring(0, equals), variable.substring(equals + 1));
         }
-        return b.start().toHandle();
+        return builder.start().toHandle();
     }
 
-    private ProcessHandle startInheriting(Path log, List<String> variables) throws IOException {
+    private ProcessHandle startWithInheritedListener(Path log, List<String> variables) throws IOException {
         String line = log + "\tNODE_LISTEN_FD=0\t" + String.join("\t", variables) + "\n";
-        orders.write(line.getBytes(StandardCharsets.US_ASCII));
-        orders.flush();
-        return ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow();
+        holderInput.write(line.getBytes(StandardCharsets.US_ASCII));
+        holderInput.flush();
+        return ProcessHandle.of(Long.parseLong(holderOutput.readLine())).orElseThrow();
     }
 
-    /** Sockets that all its processes hold together. */
-    long socketsHeld() {
-        return members.stream().filter(Member::alive).mapToLong(Member::sockets).sum();
+    /** The number of sockets that all processes of the gateway have open. */
+    long countSockets() {
+        return processes.stream()
+                .filter(GatewayProcess::isAlive)
+                .mapToLong(GatewayProcess::countSockets)
+                .sum();
     }
 
     @Override
     public void close() {
-        for (Member m : members) {
-            m.endAsked = true;
-            m.handle.destroyForcibly();
+        for (GatewayProcess process : processes) {
+            process.endRequested = true;
+            process.handle.destroyForcibly();
         }
-        if (holder != null) {
-            holder.destroyForcibly();
+        if (listenerHolder != null) {
+            listenerHolder.destroyForcibly();
         }
     }
 }
