--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -52,7 +52,7 @@
     private static final long DRAIN_POLL_INTERVAL_MS = 20; // how often a drain checks whether all requests are answered
     private static final long HOST_METRICS_INTERVAL_MS = 100; // how often the metrics on hosts are updated
     private static final int BUFFER_HEAP_DIVISOR = 4; // buffers of client and host data may use 1/4 of the heap
-    private static final double ASSUMED_BODY_BYTES_PER_MS = 64; // for the missing part of a body, at least
+    private static final double ASSUMED_BODY_BYTES_PER_MS = 64; // the slowest rate expected for the rest of a body
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_LOAD_METRICS = new double[0];
 
--- a/src/test/java/deckfall/net/CallTimingTest.java
+++ b/src/test/java/deckfall/net/CallTimingTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * The time from the end of an outage to the change, where each call that starts during the outage fails, and one
-     * further call after it.
+     * The time from the end of an outage until the change arrives. Each call that starts during the outage fails, and
+     * so does one further call after it.
      */
     private static long changeArrivesAfterMs(long outageMs, Failure outage, Failure further, long seed) {
         CallTiming timing = new CallTiming(new Random(seed));
