--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -27,7 +27,7 @@
     private static final double SERVER_FAULT_SHARE = 0.11; // of the requests, which don't get a plain response
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long KILL_AFTER_DEADLINE_MS = 700; // from SIGTERM, beyond the longest deadline
-    private static final int MIN_BALANCER_DELAY_MS = 200; // until new connections avoid a gateway that stops
+    private static final int MIN_BALANCER_DELAY_MS = 200; // from SIGTERM until new connections avoid the gateway
     private static final int MAX_BALANCER_DELAY_MS = 400;
     private static final long POLL_INTERVAL_MS = 30;
     private static final long WATCH_INTERVAL_MS = 100;
@@ -64,7 +64,7 @@
         this.random = new Random(options.seed());
     }
 
-    /** Plays the run and returns its result once all processes have ended. */
+    /** Executes the run and returns its result once all processes have ended. */
     RunResult run() throws IOException, InterruptedException {
         List<Thread> scripts = new ArrayList<>();
         Thread shutdownHook = new Thread(this::killAll); // also if the soak itself is terminated
@@ -122,9 +122,9 @@
 
     private void startGateways() throws IOException {
         for (int g = 0; g < options.gateways(); g++) {
-            boolean inherits = g % 2 == 1;
+            boolean inheritsListener = g % 2 == 1;
             GatewayUnderTest gateway = new GatewayUnderTest(
-                    g, inherits, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
+                    g, inheritsListener, options.sockets(), folder.resolve("g" + g), faultLibrary, command);
             gateways.add(gateway);
             gateway.configure(configJson(gateway, 0));
             gateway.start(drawFaults(random));
@@ -192,8 +192,9 @@
         return thread;
     }
 
-    private Thread startProcessEvents(int g, long seed) {
-        return startScript(r -> runProcessEvents(gateways.get(g), loadGenerators.get(g), r), seed);
+    private Thread startProcessEvents(int gatewayNumber, long seed) {
+        return startScript(
+                r -> runProcessEvents(gateways.get(gatewayNumber), loadGenerators.get(gatewayNumber), r), seed);
     }
 
     /** Sleeps for a time, or until the run ends. */
--- a/src/test/java/deckfall/ScarceCounterTest.java
+++ b/src/test/java/deckfall/ScarceCounterTest.java
@@ -16,18 +16,20 @@
     private static final int GATEWAYS = 60;
     private static final long CUSTOMER = 42;
     private static final double BURST_UNITS = 4;
-    private static final long WINDOW_MS = 60_000; // that one counter name covers
+    private static final long WINDOW_MS = 60_000; // time that one counter name covers
+
     /** Use that leaves nothing of the quota. */
     private static final double UNITS_BEYOND_ANY_QUOTA = 2 * (BURST_UNITS + WINDOW_MS / 1000.0);
 
     private static final double UNITS_PER_S = 1;
-    private static final double ANSWER_VALID_MS =
-            2 * 1000 * BURST_UNITS; // for which a reply is evidence of the quota level
+
+    /** Time for which a reply is evidence of the quota level: that in which two bursts refill, at one unit a second. */
+    private static final double EVIDENCE_LIFETIME_MS = 2 * 1000 * BURST_UNITS;
 
     private GatewayHarness gateway;
     private int requests;
 
-    /** Excess costs this share of its worth, which decides how many requests it pays to admit on an estimate. */
+    /** Starts a gateway; the less excess costs, relative to its worth, the more requests it admits on an estimate. */
     private void start(double excessCost) {
         Plan plan = new Plan("small", UNITS_PER_S, BURST_UNITS, 0, 1, 0, excessCost, 0, 0, 0);
         Settings defaults = GatewayHarness.settings(0, GATEWAYS);
@@ -78,11 +80,11 @@
                 .count();
     }
 
-    private void answer(GatewayHarness.CounterCall call, double total) {
+    private void reply(GatewayHarness.CounterCall call, double total) {
         gateway.module.counterCallEnded(gateway.now, call.counter(), Outcome.OK, total);
     }
 
-    /** The units that the customer may have used since the window of the counter name began. */
+    /** The units that the customer may use from the start of the counter name's window up to now. */
     private double allowedUnits(long customer, GatewayHarness.CounterCall call) {
         long window = Long.parseLong(call.counter().substring(call.counter().indexOf('.') + 1));
         double elapsedMs = gateway.now + customer % WINDOW_MS - window * WINDOW_MS;
@@ -93,15 +95,15 @@
     void recentlyRefusedCustomerCausesNoFurtherCall() {
         start(1);
         GatewayHarness.CounterCall call = requestUntilCallFor(CUSTOMER);
-        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
-        answerCallsThatReturnUnits();
+        reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+        replyToCallsThatReturnUnits();
         int refusedBefore = gateway.refused.size();
-        for (double elapsedMs = 0; elapsedMs < ANSWER_VALID_MS - 1000; elapsedMs += 500) {
+        for (double elapsedMs = 0; elapsedMs < EVIDENCE_LIFETIME_MS - 1000; elapsedMs += 500) {
             request(CUSTOMER);
             gateway.advance(500);
         }
         assertEquals(0, callsFor(CUSTOMER), gateway.counterCalls.toString());
-        assertTrue(gateway.refused.size() - refusedBefore >= ANSWER_VALID_MS / 500 - 3);
+        assertTrue(gateway.refused.size() - refusedBefore >= EVIDENCE_LIFETIME_MS / 500 - 3);
     }
 
     /**
@@ -112,7 +114,7 @@
     void unitsOfARefusedCallAreReturned() {
         start(0.5);
         GatewayHarness.CounterCall call = requestUntilSampledCall();
-        answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+        reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         gateway.advance(3000);
         double returnedUnits = gateway.counterCalls.stream()
                 .filter(c -> c.counter().equals(call.counter()))
@@ -131,18 +133,18 @@
                 if (call.amount() > 1.5) {
                     return call;
                 }
-                answer(call, allowedUnits(1000 + i, call) - BURST_UNITS + call.amount());
+                reply(call, allowedUnits(1000 + i, call) - BURST_UNITS + call.amount());
             }
             gateway.advance(2);
         }
         throw new AssertionError("each request caused a call");
     }
 
-    /** Lets the gateway report the units that it returns, and answers those calls. */
-    private void answerCallsThatReturnUnits() {
+    /** Waits for the calls that return units, and replies to them. */
+    private void replyToCallsThatReturnUnits() {
         gateway.advance(1000);
         for (GatewayHarness.CounterCall call : List.copyOf(gateway.counterCalls)) {
-            answer(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
+            reply(call, call.amount() + UNITS_BEYOND_ANY_QUOTA);
         }
         gateway.counterCalls.clear();
     }
