--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -22,17 +22,17 @@
     private static final double PRICE_STEP = 0.5; // of the price, added by each call
     private static final double INITIAL_PRICE_FACTOR = 50; // multiple of the minimum price
     private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
-    private static final double MAX_SAVED_MS = 500; // calls that may be made at once, as time at the rate
+    private static final double CALL_BURST_MS = 500; // calls that may be made at once, as time at the rate
     private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one requested call in the allowed share
 
     private final double timeoutMs;
     private double rate; // calls per second
     private double sustainedRate; // calls per second at which replies last arrived in time
-    private double savedCalls;
+    private double callTokens;
     private double allowedShare = 1;
     private double price;
     private double minPrice;
-    private double savedCallsAt;
+    private double refilledAt;
     private double pricedAt;
     private double repliedAt;
     private int timelyReplies;
@@ -40,9 +40,9 @@
 
     CallBudget(double now, double timeoutMs, int gateways) {
         this.rate = this.sustainedRate = Math.max(MIN_RATE, INITIAL_FLEET_RATE / gateways);
-        this.savedCalls = maxSavedCalls();
+        this.callTokens = maxCallTokens();
         this.timeoutMs = timeoutMs;
-        this.savedCallsAt = this.pricedAt = this.repliedAt = now;
+        this.refilledAt = this.pricedAt = this.repliedAt = now;
     }
 
     /** Sets the minimum price: what the deployment charges for a call, or else a small share of the mean worth. */
@@ -59,7 +59,7 @@
 
     /** Whether a call may be made now; a call that may not be made raises the price as well. */
     boolean allowsCall(double now) {
-        boolean allowed = hasSavedCall(now);
+        boolean allowed = hasCallToken(now);
         allowedShare += ALLOWED_SHARE_GAIN * ((allowed ? 1 : 0) - allowedShare);
         if (!allowed) raisePrice(now);
         return allowed;
@@ -71,21 +71,21 @@
     }
 
     /** Whether the saved calls, refilled up to now, include a whole one. */
-    boolean hasSavedCall(double now) {
-        savedCalls = Math.min(maxSavedCalls(), savedCalls + rate * (now - savedCallsAt) / 1000);
-        savedCallsAt = now;
-        return savedCalls >= 1;
+    boolean hasCallToken(double now) {
+        callTokens = Math.min(maxCallTokens(), callTokens + rate * (now - refilledAt) / 1000);
+        refilledAt = now;
+        return callTokens >= 1;
     }
 
     /** Takes one call from the saved calls and raises the price. */
     void recordCall(double now) {
-        hasSavedCall(now);
-        savedCalls--;
+        hasCallToken(now);
+        callTokens--;
         raisePrice(now);
     }
 
-    private double maxSavedCalls() {
-        return 1 + rate * MAX_SAVED_MS / 1000;
+    private double maxCallTokens() {
+        return 1 + rate * CALL_BURST_MS / 1000;
     }
 
     private void raisePrice(double now) {
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1022,7 +1022,7 @@
         double units = Math.min(
                 customer.plan.burst(), valuePerUnit * Math.abs(customer.unreportedUnits) + customer.expiredUnits);
         return units > 0
-                && callBudget.hasSavedCall(now)
+                && callBudget.hasCallToken(now)
                 && units * customer.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
