--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -465,8 +465,8 @@
         switch (customer == null ? AdmissionVerdict.ADMIT : decideAdmission(now, request)) {
             case ADMIT -> admit(now, request);
             case REFUSE -> admitOrRefuse(now, request, false);
-            case ASK_COUNTER -> askCounter(now, request);
-            default -> askOwner(now, request, 0);
+            case CALL_COUNTER -> holdForCounterCall(now, request);
+            default -> queryOwner(now, request, 0);
         }
         if (customer != null && request.admitted) notifyOwners(now, customer);
         flushOutbox(now);
@@ -549,8 +549,8 @@
     private enum AdmissionVerdict {
         ADMIT,
         REFUSE,
-        ASK_OWNER,
-        ASK_COUNTER
+        QUERY_OWNER,
+        CALL_COUNTER
     }
 
     /** Returns the refilled state of a customer; it is created on first use or if the plan has changed. */
@@ -700,21 +700,21 @@
         }
         if (hasQuota) request.evidence = evidence(now, request);
         if (hasQuota && hasWideSet(customer)) return decideWideSet(now, request);
-        boolean asksOwner = settings.limits().peerMessages() && customer.spread > 1;
+        boolean queriesOwner = settings.limits().peerMessages() && customer.spread > 1;
         int decidingOwner = decidingOwner(now, customer, 0);
         boolean hasRoom = !hasQuota
-                || decidingOwner == settings.gatewayNumber() && asksOwner
-                || customer.ownTokens >= units && (!asksOwner || now - customer.sharedLevelAt < FRESH_LEVEL_MS)
+                || decidingOwner == settings.gatewayNumber() && queriesOwner
+                || customer.ownTokens >= units && (!queriesOwner || now - customer.sharedLevelAt < FRESH_LEVEL_MS)
                 || hasSpareUnits(customer, units)
-                || (asksOwner || usesCounter(customer))
+                || (queriesOwner || usesCounter(customer))
                         && now - customer.sharedLevelAt < FRESH_LEVEL_MS
                         && customer.quotaLevel - unseenUseReserve(now, customer) >= units;
         boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: the own share needs no peer
         if (hasRoom && hasCapRoom) return AdmissionVerdict.ADMIT;
         request.requestedUnits = units;
         if (usesCounter(customer) && hasCapRoom && drawsCounterCall(now, request, roomChance(request)))
-            return AdmissionVerdict.ASK_COUNTER;
-        return asksOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
+            return AdmissionVerdict.CALL_COUNTER;
+        return queriesOwner ? AdmissionVerdict.QUERY_OWNER : AdmissionVerdict.REFUSE;
     }
 
     /** Returns whether so many gateways share a customer that an even share of the burst holds no whole request. */
@@ -762,7 +762,7 @@
         // If room is unlikely, the units are added once the request is admitted.
         request.requestedUnits = roomChance(request) >= LIKELY_ROOM_CHANCE ? units : 0;
         request.sampledUnits = admits ? units * (1 / (request.callProbability * callBudget.allowedShare()) - 1) : 0;
-        return AdmissionVerdict.ASK_COUNTER;
+        return AdmissionVerdict.CALL_COUNTER;
     }
 
     /** Draws whether to make a counter call that saves this share of the request's worth. */
@@ -938,7 +938,7 @@
     }
 
     /** Holds a request that the own share has no room for until the counter call has ended. */
-    private void askCounter(double now, RequestState request) {
+    private void holdForCounterCall(double now, RequestState request) {
         CustomerState customer = request.customer;
         if (now + COUNTER_CALL_ALLOWANCE_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             admitOrRefuse(now, request, false);
@@ -1068,7 +1068,7 @@
     // ---- queries to owners
 
     /** Holds a request until the next available owner answers; if there is none, the even share decides. */
-    private void askOwner(double now, RequestState request, int ownerIndex) {
+    private void queryOwner(double now, RequestState request, int ownerIndex) {
         CustomerState customer = request.customer;
         int owner = ownerIndex < customer.owners.length ? decidingOwner(now, customer, ownerIndex) : -1;
         if (owner < 0
@@ -1085,7 +1085,7 @@
             return;
         }
         request.ownerIndex = owner == customer.owners[0] ? 0 : customer.owners.length - 1;
-        request.askedOwner = owner;
+        request.queriedOwner = owner;
         request.querySerial = peers[owner].sentSerial + 1; // of the next message; the last one didn't carry this query
         request.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!customer.pending.contains(request)) customer.pending.addLast(request);
@@ -1112,9 +1112,9 @@
         for (RequestState request :
                 ownerQueries.stream().filter(query -> now >= query.answerDueAt).toList()) {
             ownerQueries.remove(request);
-            peers[request.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
+            peers[request.queriedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
             refill(now, request.customer);
-            askOwner(now, request, request.ownerIndex + 1);
+            queryOwner(now, request, request.ownerIndex + 1);
         }
     }
 
@@ -1185,11 +1185,11 @@
     /** The report on a customer to its owner; it also carries the queries of the customer's pending requests. */
     private PeerMessage.Entry reportEntry(double now, CustomerState customer, PeerState owner) {
         for (RequestState request : customer.pending)
-            if (request.askedOwner == owner.number) request.querySerial = owner.sentSerial;
+            if (request.queriedOwner == owner.number) request.querySerial = owner.sentSerial;
         double wantedUnits = customer.pendingUnits();
         boolean replyWanted = decidingOwner(now, customer, 0) == owner.number
                 || now < owner.unresponsiveUntil
-                || customer.pending.stream().anyMatch(request -> request.askedOwner == owner.number);
+                || customer.pending.stream().anyMatch(request -> request.queriedOwner == owner.number);
         boolean hasLevel = decidingOwner(now, customer, 0) == settings.gatewayNumber()
                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
@@ -1324,7 +1324,7 @@
         }
         List<RequestState> answeredRequests = customer.pending.stream()
                 .filter(query ->
-                        query.askedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, answeredSerial))
+                        query.queriedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, answeredSerial))
                 .toList();
         if (!entry.uninformed()) {
             customer.othersDemand = entry.demand();
@@ -1338,7 +1338,7 @@
         for (RequestState request : answeredRequests) {
             double units = request.details.units();
             if (entry.uninformed() && request.ownerIndex + 1 < customer.owners.length) {
-                askOwner(now, request, request.ownerIndex + 1);
+                queryOwner(now, request, request.ownerIndex + 1);
                 continue;
             }
             customer.pending.remove(request);
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -483,7 +483,7 @@
         boolean closed;
         boolean streaming;
         int ownerIndex; // position of the asked owner among the customer's owners
-        int askedOwner; // number of the asked owner
+        int queriedOwner; // number of the asked owner
         int querySerial; // number of the message that carried the query
         double answerDueAt; // the answer counts as missing from this time on
 
