--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1187,14 +1187,14 @@
         for (RequestState request : customer.pending)
             if (request.queriedOwner == owner.number) request.querySerial = owner.sentSerial;
         double wantedUnits = customer.pendingUnits();
-        boolean replyWanted = decidingOwner(now, customer, 0) == owner.number
+        boolean answerWanted = decidingOwner(now, customer, 0) == owner.number
                 || now < owner.unresponsiveUntil
                 || customer.pending.stream().anyMatch(request -> request.queriedOwner == owner.number);
         boolean hasLevel = decidingOwner(now, customer, 0) == settings.gatewayNumber()
                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
-                replyWanted,
+                answerWanted,
                 customer.plan.capRate() > 0 && customer.capTokens < wantedUnits,
                 false,
                 hasLevel,
@@ -1299,11 +1299,11 @@
         if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spentUnits + member.grantedUnits != 0)
             notifyOwners(now, customer);
         // Units are deducted here before they are sent, so a lost message loses units and never creates any.
-        if (grants && givesCapUnits && entry.replyWanted()) {
+        if (grants && givesCapUnits && entry.answerWanted()) {
             customer.capTokens -= entry.wantedUnits();
             member.capUnitsGiven += entry.wantedUnits();
         }
-        if (entry.replyWanted()) {
+        if (entry.answerWanted()) {
             peer.dueAnswers.add(customer);
             enqueuePeer(peer, null);
         }
--- a/src/main/java/deckfall/PeerMessage.java
+++ b/src/main/java/deckfall/PeerMessage.java
@@ -22,7 +22,7 @@
     private static final int CAP_UNITS_BYTES = 4;
     private static final byte VERSION = 3;
     private static final int ANSWER_FLAG = 1;
-    private static final int REPLY_WANTED_FLAG = 2;
+    private static final int ANSWER_WANTED_FLAG = 2;
     private static final int CAP_FLAG = 4;
     private static final int UNINFORMED_FLAG = 8;
     private static final int LEVEL_FLAG = 16;
@@ -42,7 +42,7 @@
      */
     record Entry(
             boolean answer,
-            boolean replyWanted,
+            boolean answerWanted,
             boolean cap,
             boolean uninformed,
             boolean hasLevel,
@@ -65,7 +65,7 @@
 
         private void encode(ByteBuffer buffer) {
             buffer.put((byte) ((answer ? ANSWER_FLAG : 0)
-                    | (replyWanted ? REPLY_WANTED_FLAG : 0)
+                    | (answerWanted ? ANSWER_WANTED_FLAG : 0)
                     | (cap ? CAP_FLAG : 0)
                     | (uninformed ? UNINFORMED_FLAG : 0)
                     | (hasLevel ? LEVEL_FLAG : 0)));
@@ -97,7 +97,7 @@
             double capUnitsGiven = answer && cap ? buffer.getInt() / FIXED_POINT_PER_UNIT : 0;
             return new Entry(
                     answer,
-                    (flags & REPLY_WANTED_FLAG) != 0,
+                    (flags & ANSWER_WANTED_FLAG) != 0,
                     cap,
                     (flags & UNINFORMED_FLAG) != 0,
                     hasLevel,
