--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -1632,7 +1632,7 @@
             // A cold host has no attempts in flight and would win each time, so it is a candidate only as often as it
             // may win (rule 4).
             double capacityShare = host.capacityShare(now, settings.rules());
-            double allowance = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * capacityShare;
+            double allowance = COLD_ALLOWANCE_SHARE * settings.rules().coldLoadMultiple() * capacityShare;
             if (capacityShare < 1 && random.nextDouble() * candidateCount > allowance) continue;
             double score = score(now, request, host) * (1 + TIE_BREAK_NOISE * random.nextDouble());
             if (score < bestScore) best = host;
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -417,10 +417,12 @@
 
         /** The capacity of a host that warms up, as a share of a warm host's, by the rules' figures. */
         double capacityShare(double now, Gateway.Rules rules) {
-            double progress = (now - startedAt) / Math.max(1, rules.warmWithinMs());
+            double progress = (now - startedAt) / Math.max(1, rules.hostWarmUpMs());
             return progress >= 1
                     ? 1
-                    : Math.max(MIN_CAPACITY_SHARE, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, progress));
+                    : Math.max(
+                            MIN_CAPACITY_SHARE,
+                            rules.coldCapacity() + (1 - rules.coldCapacity()) * Math.max(0, progress));
         }
 
         /** Returns whether the host may get new requests. */
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -159,12 +159,12 @@
      * @param warmWithinMs time after its start at which a host is warm
      */
     public record Rules(
-            double answerSlackMs,
+            double responseSlackMs,
             double drainGraceMs,
-            double fallMultiple,
-            double fallMs,
-            double coldFrom,
-            double warmWithinMs,
+            double coldLoadMultiple,
+            double coldLoadWindowMs,
+            double coldCapacity,
+            double hostWarmUpMs,
             double askWithinMs) {}
 
     /**
--- a/src/main/java/deckfall/scale/Fleet.java
+++ b/src/main/java/deckfall/scale/Fleet.java
@@ -22,10 +22,10 @@
     private static final double CONNECT_TIMEOUT_MS = 250;
     private static final int ONCE_CLASS_INTERVAL = 3; // requests of one class in this many must not be repeated
     private static final double MAX_RETRY_AFTER_MS = 500;
-    private static final double ANSWER_SLACK_MS = 8;
+    private static final double RESPONSE_SLACK_MS = 8;
     private static final double DRAIN_GRACE_MS = 500;
-    private static final double FALL_MULTIPLE = 2;
-    private static final double FALL_MS = 1000;
+    private static final double COLD_LOAD_MULTIPLE = 2;
+    private static final double COLD_LOAD_WINDOW_MS = 1000;
     private static final double COUNTER_CALL_PRICE = 0.01;
     private static final long START_DRAW = -1; // index of a gateway's random number for its start
     static final int SERVICES_ZONE = 0; // zone of discovery and the counter
@@ -133,10 +133,10 @@
                 List.of(),
                 new Limits(MAX_ATTEMPTS, false, true, false, false, true, MAX_RETRY_AFTER_MS, CONNECT_TIMEOUT_MS),
                 new Rules(
-                        ANSWER_SLACK_MS,
+                        RESPONSE_SLACK_MS,
                         DRAIN_GRACE_MS,
-                        FALL_MULTIPLE,
-                        FALL_MS,
+                        COLD_LOAD_MULTIPLE,
+                        COLD_LOAD_WINDOW_MS,
                         options.coldCapacity,
                         options.serverWarmUpMs,
                         0),
--- a/src/main/java/deckfall/scale/RealRun.java
+++ b/src/main/java/deckfall/scale/RealRun.java
@@ -219,12 +219,12 @@
                 .put("max_retry_after_ms", gatewaySettings.limits().maxRetryAfterMs())
                 .put("connect_timeout_ms", gatewaySettings.limits().connectTimeoutMs());
         settings.putObject("rules")
-                .put("answer_slack_ms", gatewaySettings.rules().answerSlackMs())
+                .put("answer_slack_ms", gatewaySettings.rules().responseSlackMs())
                 .put("drain_grace_ms", gatewaySettings.rules().drainGraceMs())
-                .put("fall_multiple", gatewaySettings.rules().fallMultiple())
-                .put("fall_ms", gatewaySettings.rules().fallMs())
-                .put("cold_from", gatewaySettings.rules().coldFrom())
-                .put("warm_within_ms", gatewaySettings.rules().warmWithinMs());
+                .put("fall_multiple", gatewaySettings.rules().coldLoadMultiple())
+                .put("fall_ms", gatewaySettings.rules().coldLoadWindowMs())
+                .put("cold_from", gatewaySettings.rules().coldCapacity())
+                .put("warm_within_ms", gatewaySettings.rules().hostWarmUpMs());
         settings.putObject("specifics")
                 .put("counter", true)
                 .put("counter_price", gatewaySettings.coordination().counterCallPrice())
--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -74,8 +74,8 @@
         }
 
         double capacityShare(double atMs) {
-            double progress = startedMs > 0 ? (atMs - startedMs) / rules.warmWithinMs() : 1;
-            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * progress);
+            double progress = startedMs > 0 ? (atMs - startedMs) / rules.hostWarmUpMs() : 1;
+            return Math.min(1, rules.coldCapacity() + (1 - rules.coldCapacity()) * progress);
         }
 
         void stop() {
@@ -110,13 +110,17 @@
         void measureBudgetUse() {
             for (int first = 0, next = 0; first < attemptTimes.size(); first++) {
                 double windowStart = attemptTimes.get(first);
-                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.fallMs()) next++;
-                double budget =
-                        rules.fallMultiple() * capacityShare(windowStart) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
+                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.coldLoadWindowMs())
+                    next++;
+                double budget = rules.coldLoadMultiple()
+                        * capacityShare(windowStart)
+                        * rules.coldLoadWindowMs()
+                        * SLOTS
+                        / MEAN_SERVICE_MS;
                 peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (budget + 2 * Math.sqrt(budget) + 2));
             }
             double meanShare = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
-            allowedAttempts += rules.fallMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
+            allowedAttempts += rules.coldLoadMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
             attemptsToColdServers += attemptTimes.size();
         }
     }
