--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -233,7 +233,7 @@
     private static final double QUEUEING_GOAL_SHARE = 0.5;
 
     /** Weight of one release in the mean gap between releases. */
-    private static final double RELEASE_GAP_GAIN = 0.1;
+    private static final double DISPATCH_GAP_GAIN = 0.1;
 
     /** Expected time of the largest request before the first response, as a share of the latency goal. */
     private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
@@ -448,7 +448,7 @@
         updates.forEach(update -> hosts.computeIfAbsent(update.id(), id -> new TrackedHost(update))
                 .update(update));
         refreshHosts(now);
-        releaseQueued(now);
+        dispatchQueued(now);
     }
 
     @Override
@@ -481,10 +481,10 @@
         if (customer != null) charge(now, customer, request.details.units(), request.details.units());
         if (classState.queue.isEmpty()) classState.virtualTime = Math.max(classState.virtualTime, virtualTime);
         classState.queue.addLast(request);
-        releaseQueued(now);
+        dispatchQueued(now);
         // A request that would wait past its hold deadline is refused at once instead of being queued (rule 1).
         boolean queued = !request.closed && request.attempts.isEmpty();
-        if (queued && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
+        if (queued && now + classState.queue.size() * classState.meanDispatchGap >= holdDeadline(request))
             finishUnserved(now, request);
     }
 
@@ -512,7 +512,7 @@
             else finishUnserved(now, request);
         }
         if (request.closed && !request.hasAttemptInFlight()) requests.remove(request.details.id());
-        releaseQueued(now);
+        dispatchQueued(now);
     }
 
     @Override
@@ -539,7 +539,7 @@
         adjustConcurrency(now);
         adjustWeights(now);
         evictIdle(now);
-        releaseQueued(now);
+        dispatchQueued(now);
         flushOutbox(now);
     }
 
@@ -1361,7 +1361,7 @@
     }
 
     /** Work-conserving fair queueing: the backlogged class with the smallest virtual time goes next. */
-    private void releaseQueued(double now) {
+    private void dispatchQueued(double now) {
         double limit = concurrencyLimit();
         LinkedHashSet<ClassState> blocked = new LinkedHashSet<>();
         while (attemptsInFlight < limit) {
@@ -1371,13 +1371,13 @@
                 if (earlier && !classState.queue.isEmpty() && !blocked.contains(classState)) next = classState;
             }
             if (next == null) return;
-            if (!releaseNext(now, next)) blocked.add(next);
+            if (!dispatchNext(now, next)) blocked.add(next);
         }
         requestsWaited = true;
     }
 
     /** Sends the first queued request of a class that has a permitted host; returns false if there is none. */
-    private boolean releaseNext(double now, ClassState classState) {
+    private boolean dispatchNext(double now, ClassState classState) {
         for (RequestState request : classState.queue.stream().limit(MAX_SCANNED).toList()) {
             TrackedHost host = pickHost(now, request);
             if (host == null) continue;
@@ -1385,11 +1385,11 @@
             virtualTime = Math.max(virtualTime, classState.virtualTime);
             classState.virtualTime += request.expectedMs() / classState.weight;
             boolean backlogged = !classState.queue.isEmpty();
-            if (backlogged && classState.releasedAt > DecisionState.NEVER) {
-                classState.meanReleaseGap +=
-                        RELEASE_GAP_GAIN * (now - classState.releasedAt - classState.meanReleaseGap);
+            if (backlogged && classState.dispatchedAt > DecisionState.NEVER) {
+                classState.meanDispatchGap +=
+                        DISPATCH_GAP_GAIN * (now - classState.dispatchedAt - classState.meanDispatchGap);
             }
-            classState.releasedAt = backlogged ? now : DecisionState.NEVER;
+            classState.dispatchedAt = backlogged ? now : DecisionState.NEVER;
             sendAttempt(now, request, host);
             return true;
         }
@@ -1442,7 +1442,7 @@
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         closeRequest(now, request);
         // There may be room once the requests queued now have been sent.
-        double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
+        double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanDispatchGap);
         if (retryIsSafe) actions.refuse(request.details.id(), waitMs, Refusal.PLACE);
         else actions.fail(request.details.id());
     }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -58,8 +58,8 @@
         double latencyPerUnit; // mean, in ms
         double baselineLatency; // ms per unit while the hosts don't queue
         int samples;
-        double releasedAt = NEVER;
-        double meanReleaseGap;
+        double dispatchedAt = NEVER;
+        double meanDispatchGap;
         double meanDelay;
         double intervalDelaySum;
         int intervalCount;
