--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -641,7 +641,7 @@
         double unseenUnits = othersRate(customer) * METER_LAG_MS / 1000;
         boolean mayEstimate = settings.coordination().meterPeriodMs() > 0 || !hasCostlyExcess(customer.plan);
         return mayEstimate
-                && !settings.limits().peerMessages()
+                && !settings.limits().mayMessagePeers()
                 && customer.spread > 1
                 && customer.spareUnits - unseenUnits >= units;
     }
@@ -654,7 +654,7 @@
     /** The share of all processes of this gateway together. */
     private double gatewayShare(double now, CustomerState customer) {
         if (customer.spread == 1) return 1;
-        if (!settings.limits().peerMessages())
+        if (!settings.limits().mayMessagePeers())
             return now - customer.meterAt < STALE_LEVEL_MS ? customer.meterShare : 1.0 / customer.spread;
         if (now - customer.sharedLevelAt > STALE_LEVEL_MS
                 && decidingOwner(now, customer, 0) != settings.gatewayNumber()) return 1.0 / customer.spread;
@@ -700,7 +700,7 @@
         }
         if (hasQuota) request.evidence = evidence(now, request);
         if (hasQuota && hasWideSet(customer)) return decideWideSet(now, request);
-        boolean queriesOwner = settings.limits().peerMessages() && customer.spread > 1;
+        boolean queriesOwner = settings.limits().mayMessagePeers() && customer.spread > 1;
         int decidingOwner = decidingOwner(now, customer, 0);
         boolean hasRoom = !hasQuota
                 || decidingOwner == settings.gatewayNumber() && queriesOwner
@@ -719,7 +719,7 @@
 
     /** Returns whether so many gateways share a customer that an even share of the burst holds no whole request. */
     private boolean hasTooSmallShares(CustomerState customer) {
-        return !settings.limits().peerMessages()
+        return !settings.limits().mayMessagePeers()
                 && customer.plan.burst() / customer.spread
                         < settings.coordination().maxUnitsPerRequest();
     }
@@ -828,7 +828,7 @@
     private boolean isBelowOpenLimit(double now, CustomerState customer) {
         int limit = customer.plan.openLimit();
         boolean knowsOthers = customer.spread == 1
-                || settings.limits().peerMessages()
+                || settings.limits().mayMessagePeers()
                         && (decidingOwner(now, customer, 0) == settings.gatewayNumber()
                                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
@@ -845,7 +845,7 @@
                 * (units - customer.ownTokens)
                 / (customer.plan.rate() * Math.max(EVEN_SHARE_PRIOR, processShare(now, customer)));
         return boundRetryAfterMs(
-                settings.limits().peerMessages() || now - customer.counterTotalAt < FRESH_LEVEL_MS
+                settings.limits().mayMessagePeers() || now - customer.counterTotalAt < FRESH_LEVEL_MS
                         ? quotaWaitMs
                         : Math.max(quotaWaitMs, ownBucketWaitMs));
     }
@@ -874,7 +874,7 @@
      * older total would grow by itself: each gateway of the set would see its share rise until the next reading.
      */
     private void applyMeterReading(double now, CustomerState customer, int reading) {
-        if (reading <= 0 || settings.limits().peerMessages() || customer.plan.rate() <= 0) return;
+        if (reading <= 0 || settings.limits().mayMessagePeers() || customer.plan.rate() <= 0) return;
         customer.meterAt = now;
         double periodMs = settings.coordination().meterPeriodMs();
         // A reading that is repeated within its period shows nothing new.
@@ -931,7 +931,7 @@
     /** Returns whether the counter tracks a customer's use by all of its set, as gateways can't exchange messages. */
     private boolean usesCounter(CustomerState customer) {
         return settings.coordination().hasCounter()
-                && !settings.limits().peerMessages()
+                && !settings.limits().mayMessagePeers()
                 && customer.spread > 1
                 && customer.plan.rate() > 0
                 && !customer.plan.excessPays();
@@ -1122,7 +1122,7 @@
 
     /** Reports a change to the deciding owner at once; if that is this gateway, to the other owners at an interval. */
     private void notifyOwners(double now, CustomerState customer) {
-        if (!settings.limits().peerMessages() || customer.spread == 1) return;
+        if (!settings.limits().mayMessagePeers() || customer.spread == 1) return;
         int owner = decidingOwner(now, customer, 0);
         if (owner != settings.gatewayNumber()) {
             customer.ownerNotifiedAt = now;
--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -146,7 +146,7 @@
             boolean mayDuplicate,
             boolean mayCancel,
             boolean mayProbe,
-            boolean peerMessages,
+            boolean mayMessagePeers,
             boolean mayAdviseRetry,
             double maxRetryAfterMs,
             double connectTimeoutMs) {}
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -115,7 +115,7 @@
         for (JsonNode peer : root.path("peers")) {
             peers.add(parseAddress(peer.asText()));
         }
-        boolean peerMessages = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
+        boolean peerMessages = settings.limits().mayMessagePeers() && root.hasNonNull("peer_listen");
         return new NodeConfig(
                 parseAddress(requiredText(root, "listen")),
                 root.hasNonNull(OPERATOR_KEY) ? parseAddress(requiredText(root, OPERATOR_KEY)) : null,
