--- a/src/main/java/deckfall/AdmissionEstimate.java
+++ b/src/main/java/deckfall/AdmissionEstimate.java
@@ -34,21 +34,21 @@
     private final double[] resultCounts = new double[4 * VERDICT_COUNT];
 
     /** The index in the table for what is known before the call. */
-    static int evidence(boolean retry, boolean overQuota, CounterVerdict verdict) {
+    static int evidenceIndex(boolean retry, boolean overQuota, CounterVerdict verdict) {
         return (retry ? 2 * VERDICT_COUNT : 0) + (overQuota ? VERDICT_COUNT : 0) + verdict.ordinal();
     }
 
     /** The estimated probability that the counter has room. */
-    double chance(int evidence) {
-        double prior = PRIOR_CHANCES[evidence % VERDICT_COUNT]
-                * (evidence / VERDICT_COUNT % 2 == 1 ? OVER_QUOTA_FACTOR : 1)
-                * (evidence >= 2 * VERDICT_COUNT ? RETRY_FACTOR : 1);
-        return (roomCounts[evidence] + PRIOR_WEIGHT * prior) / (resultCounts[evidence] + PRIOR_WEIGHT);
+    double chance(int evidenceIndex) {
+        double prior = PRIOR_CHANCES[evidenceIndex % VERDICT_COUNT]
+                * (evidenceIndex / VERDICT_COUNT % 2 == 1 ? OVER_QUOTA_FACTOR : 1)
+                * (evidenceIndex >= 2 * VERDICT_COUNT ? RETRY_FACTOR : 1);
+        return (roomCounts[evidenceIndex] + PRIOR_WEIGHT * prior) / (resultCounts[evidenceIndex] + PRIOR_WEIGHT);
     }
 
     /** Adds one verdict of the counter. */
-    void record(int evidence, boolean hadRoom) {
-        roomCounts[evidence] = DECAY * roomCounts[evidence] + (hadRoom ? 1 : 0);
-        resultCounts[evidence] = DECAY * resultCounts[evidence] + 1;
+    void record(int evidenceIndex, boolean hadRoom) {
+        roomCounts[evidenceIndex] = DECAY * roomCounts[evidenceIndex] + (hadRoom ? 1 : 0);
+        resultCounts[evidenceIndex] = DECAY * resultCounts[evidenceIndex] + 1;
     }
 }
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -698,7 +698,7 @@
             if (now - customer.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) notifyOwners(now, customer);
             return AdmissionVerdict.REFUSE;
         }
-        if (hasQuota) request.evidence = evidence(now, request);
+        if (hasQuota) request.evidenceIndex = evidenceIndex(now, request);
         if (hasQuota && hasWideSet(customer)) return decideWideSet(now, request);
         boolean queriesOwner = settings.limits().mayMessagePeers() && customer.spread > 1;
         int decidingOwner = decidingOwner(now, customer, 0);
@@ -773,7 +773,7 @@
 
     /** The estimated probability that the whole quota has room for a request. */
     private double roomChance(RequestState request) {
-        return admissionEstimates[request.customer.planNumber].chance(request.evidence);
+        return admissionEstimates[request.customer.planNumber].chance(request.evidenceIndex);
     }
 
     /** The expected cost of admitting a request without a call, relative to its worth and scaled by the margin. */
@@ -803,7 +803,7 @@
     }
 
     /** What is known of a request's customer without a call: the last counter result and meter reading. */
-    private int evidence(double now, RequestState request) {
+    private int evidenceIndex(double now, RequestState request) {
         CustomerState customer = request.customer;
         double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
         double meteredUnits = now - customer.meterAt < evidenceLifetimeMs(customer.plan)
@@ -813,7 +813,7 @@
                 > Math.max(
                         quotaPerPeriod,
                         MAX_OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(
+        return AdmissionEstimate.evidenceIndex(
                 request.details.retry(), overQuota, customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)));
     }
 
@@ -1010,7 +1010,7 @@
     /** Records for a customer and its plan whether the quota had room for a request, by a result of the counter. */
     private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
         CustomerState customer = request.customer;
-        admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
+        admissionEstimates[customer.planNumber].record(request.evidenceIndex, hasRoom);
         request.refusal = hasRoom ? Refusal.OPEN : Refusal.QUOTA; // applies if it isn't admitted
         customer.counterVerdict = CounterVerdict.of(hasRoom, customer.fullness());
     }
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -478,7 +478,7 @@
         boolean admitted;
         Gateway.Refusal refusal = Gateway.Refusal.PART; // reason, if it is refused
         double callProbability; // share of such requests for which a counter call is made
-        int evidence; // index of what was known of its customer on arrival
+        int evidenceIndex; // index of what was known of its customer on arrival
         double requestedUnits; // units that its counter call adds for itself
         double sampledUnits; // units that it adds for requests admitted without a call
         boolean countedInTotal; // its units are part of the counter's total
