--- a/src/main/java/deckfall/scale/QuotaAccounting.java
+++ b/src/main/java/deckfall/scale/QuotaAccounting.java
@@ -14,11 +14,11 @@
     private final PerSecondTotals perSecond;
     private final TokenBuckets buckets;
     private final TokenBuckets offeredBuckets;
-    private final WindowMaxima overQuotaWindows;
+    private final WindowMaxima excessWindows;
     private final WindowMaxima refusedInQuotaWindows;
     private double unitsSent;
-    private double unitsOverQuota;
-    private double overQuotaCost;
+    private double excessUnits;
+    private double excessCost;
     private double worthOfferedInQuota;
     private double worthSentInQuota;
     private long refusedInQuota;
@@ -28,7 +28,7 @@
         this.customers = customers;
         buckets = new TokenBuckets(customers);
         offeredBuckets = new TokenBuckets(customers);
-        overQuotaWindows = new WindowMaxima(customers.count());
+        excessWindows = new WindowMaxima(customers.count());
         refusedInQuotaWindows = new WindowMaxima(customers.count());
     }
 
@@ -51,9 +51,9 @@
             worthSentInQuota += worth(request);
             return;
         }
-        unitsOverQuota += request.units;
-        overQuotaCost += customers.plan(request.customer).excessCost() * worth(request);
-        overQuotaWindows.add(request.customer, nowMs, request.units);
+        excessUnits += request.units;
+        excessCost += customers.plan(request.customer).excessCost() * worth(request);
+        excessWindows.add(request.customer, nowMs, request.units);
     }
 
     private double worth(ClientRequest request) {
@@ -78,8 +78,8 @@
         return unitsSent;
     }
 
-    double unitsOverQuota() {
-        return unitsOverQuota;
+    double excessUnits() {
+        return excessUnits;
     }
 
     double worthOfferedInQuota() {
@@ -92,8 +92,8 @@
     }
 
     /** The cost of use beyond the quotas as a share of the worth offered within them. */
-    double overQuotaCostShare() {
-        return worthOfferedInQuota > 0 ? overQuotaCost / worthOfferedInQuota : 0;
+    double excessCostShare() {
+        return worthOfferedInQuota > 0 ? excessCost / worthOfferedInQuota : 0;
     }
 
     /** The worth sent within the quotas as a share of the worth offered within them, retries not counted as offers. */
@@ -106,8 +106,8 @@
     }
 
     /** Units sent beyond the quota, by customer and window of time. */
-    WindowMaxima overQuotaWindows() {
-        return overQuotaWindows;
+    WindowMaxima excessWindows() {
+        return excessWindows;
     }
 
     /** Units refused within the quota, by customer and window of time. */
--- a/src/main/java/deckfall/scale/Report.java
+++ b/src/main/java/deckfall/scale/Report.java
@@ -76,13 +76,13 @@
         put("refused_with_room", quotas.refusedInQuota());
         put("refused_with_room_share", share(quotas.refusedInQuota(), statistics.requests));
         put("units_sent", quotas.unitsSent());
-        put("units_beyond", quotas.unitsOverQuota());
-        put("units_beyond_share", share(quotas.unitsOverQuota(), quotas.unitsSent()));
-        put("over_quota_price", quotas.overQuotaCostShare());
+        put("units_beyond", quotas.excessUnits());
+        put("units_beyond_share", share(quotas.excessUnits(), quotas.unitsSent()));
+        put("over_quota_price", quotas.excessCostShare());
         put("served_worth_share", quotas.servedWorthShare());
-        put("beyond_customers", quotas.overQuotaWindows().customerCount());
-        put("beyond_units_5s_largest", quotas.overQuotaWindows().max());
-        put("beyond_units_5s_mean", quotas.overQuotaWindows().mean());
+        put("beyond_customers", quotas.excessWindows().customerCount());
+        put("beyond_units_5s_largest", quotas.excessWindows().max());
+        put("beyond_units_5s_mean", quotas.excessWindows().mean());
         put("lacking_customers", quotas.refusedInQuotaWindows().customerCount());
         put("lacking_units_5s_largest", quotas.refusedInQuotaWindows().max());
         put("lacking_units_5s_mean", quotas.refusedInQuotaWindows().mean());
@@ -91,9 +91,9 @@
     /** Adds the results of a reference policy on the same requests, compared with those of the decision module. */
     void addReference(String name, Fleet reference) {
         QuotaAccounting quotas = reference.quotas;
-        put(name + "_over_quota_price", quotas.overQuotaCostShare());
+        put(name + "_over_quota_price", quotas.excessCostShare());
         put(name + "_served_worth_share", quotas.servedWorthShare());
-        put("over_quota_price_above_" + name, fleet.quotas.overQuotaCostShare() - quotas.overQuotaCostShare());
+        put("over_quota_price_above_" + name, fleet.quotas.excessCostShare() - quotas.excessCostShare());
     }
 
     private void addCounter() {
