--- a/src/main/java/deckfall/scale/Customers.java
+++ b/src/main/java/deckfall/scale/Customers.java
@@ -69,7 +69,7 @@
                     plan.name(),
                     plan.rate() * rateFactor,
                     plan.burst() * rateFactor,
-                    options.maxOpenRequests,
+                    options.openLimit,
                     plan.valueFactor(),
                     plan.excessWorth(),
                     plan.excessCost(),
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -24,7 +24,7 @@
 final class SimulatedGateway extends FleetGateway implements Actions {
     private static final int MAX_OPEN_CALLS = 256; // limit of calls on the program's connection to the counter
     private static final double STUCK_CONNECTION_MS = 5000; // until the program abandons the counter connection
-    private static final double[] NO_LOAD_REPORT = new double[0];
+    private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** The kinds of events. The kind decides whether requests wait for the counter calls that an event causes. */
     private enum EventKind {
@@ -162,7 +162,7 @@
                 closesRequest,
                 meterReading,
                 0,
-                NO_LOAD_REPORT);
+                NO_LOAD_METRICS);
         deliver(EventKind.OTHER, null, () -> module.attemptEnded(now(), result));
         removeIfComplete(request);
     }
--- a/src/main/java/deckfall/scale/SimulationOptions.java
+++ b/src/main/java/deckfall/scale/SimulationOptions.java
@@ -141,7 +141,7 @@
             names = "--open-limit",
             defaultValue = "0",
             description = "limit of a customer's concurrent requests; 0: no limit (${DEFAULT-VALUE})")
-    int maxOpenRequests;
+    int openLimit;
 
     @Option(
             names = "--retries",
@@ -279,7 +279,7 @@
         requireInRange("--goal-ms", goalMs, 1, MAX_MS);
         requireInRange("--deadline-ms", deadlineMs, goalMs, MAX_MS);
         requireInRange("--max-units", maxUnits, 1, MAX_CLASSES);
-        requireInRange("--open-limit", maxOpenRequests, 0, MAX_CLASSES);
+        requireInRange("--open-limit", openLimit, 0, MAX_CLASSES);
         requireInRange("--retries", retries, 0, SimulatedClients.MAX_RETRIES);
         requireInRange("--retry-share", retryShare, 0, 1);
         requireInRange("--near-ms", zoneLatencyMs, 0, MAX_MS);
