--- a/src/main/java/deckfall/AdmissionEstimate.java
+++ b/src/main/java/deckfall/AdmissionEstimate.java
@@ -2,7 +2,7 @@
 
 /**
  * Estimates how likely the counter is to have room for a request from the evidence available before it is called: a
- * table of its past verdicts, which decays with each reply, combined with a prior. It makes no decision.
+ * table of whether past calls found room, which decays with each reply, combined with a prior. It makes no decision.
  */
 final class AdmissionEstimate {
     /** The counter's last recent verdict on a customer, or that this gateway recently admitted a request of it. */
@@ -25,7 +25,7 @@
 
     private static final double[] PRIOR_CHANCES = {0.8, 0.6, 0.8, 0.6, 0.4}; // by verdict
     private static final double OVER_QUOTA_FACTOR = 0.8; // if the meter showed more use than the quota
-    private static final double RETRY_FACTOR = 0.6; // if the request is a retry: another gateway refused it
+    private static final double RETRY_FACTOR = 0.6; // if the request is a client's retry: a gateway refused it before
     private static final double PRIOR_WEIGHT = 4; // replies
     private static final double DECAY = 0.98; // per reply
     private static final int VERDICT_COUNT = CounterVerdict.values().length;
@@ -33,7 +33,7 @@
     private final double[] roomCounts = new double[4 * VERDICT_COUNT];
     private final double[] resultCounts = new double[4 * VERDICT_COUNT];
 
-    /** The index in the table for what is known before the call. */
+    /** Returns the index in the table of the evidence that is available before the call. */
     static int evidenceIndex(boolean retry, boolean overQuota, CounterVerdict verdict) {
         return (retry ? 2 * VERDICT_COUNT : 0) + (overQuota ? VERDICT_COUNT : 0) + verdict.ordinal();
     }
--- a/src/main/java/deckfall/CallBudget.java
+++ b/src/main/java/deckfall/CallBudget.java
@@ -9,7 +9,7 @@
  */
 final class CallBudget {
     private static final double INITIAL_FLEET_RATE = 400; // calls per second of all gateways at first
-    private static final double MIN_RATE = 0.5; // calls per second: rare calls detect that the counter has recovered
+    private static final double MIN_RATE = 0.5; // calls per second; so rare calls still detect a recovered counter
     private static final double SLOW_START_GROWTH = 0.7; // of the rate, each second until the first congested reply
     private static final double GROWTH_SHARE = 0.2; // of the rate, each second after slow start
     private static final double GROWTH_STEP = 0.1; // calls per second, each second, so that small shares catch up
@@ -22,7 +22,7 @@
     private static final double PRICE_STEP = 0.5; // of the price, added by each call
     private static final double INITIAL_PRICE_FACTOR = 50; // multiple of the minimum price
     private static final double MIN_PRICE_SHARE = 0.001; // of the mean worth: a price of zero could never rise
-    private static final double CALL_BURST_MS = 500; // calls that may be made at once, as time at the rate
+    private static final double CALL_BURST_MS = 500; // size of the token bucket of calls, as time at the rate
     private static final double ALLOWED_SHARE_GAIN = 0.05; // weight of one requested call in the allowed share
 
     private final double timeoutMs;
@@ -57,7 +57,7 @@
         return Math.max(minPrice, price * Math.exp(-Math.log1p(PRICE_STEP) * rate * (now - pricedAt) / 1000));
     }
 
-    /** Whether a call may be made now; a call that may not be made raises the price as well. */
+    /** Returns whether a call may be made now; a call that may not be made raises the price as well. */
     boolean allowsCall(double now) {
         boolean allowed = hasCallToken(now);
         allowedShare += ALLOWED_SHARE_GAIN * ((allowed ? 1 : 0) - allowedShare);
@@ -70,14 +70,14 @@
         return Math.max(ALLOWED_SHARE_GAIN, allowedShare);
     }
 
-    /** Whether the saved calls, refilled up to now, include a whole one. */
+    /** Refills the call tokens up to now and returns whether there is one for a call. */
     boolean hasCallToken(double now) {
         callTokens = Math.min(maxCallTokens(), callTokens + rate * (now - refilledAt) / 1000);
         refilledAt = now;
         return callTokens >= 1;
     }
 
-    /** Takes one call from the saved calls and raises the price. */
+    /** Takes a token for a call and raises the price. */
     void recordCall(double now) {
         hasCallToken(now);
         callTokens--;
--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -37,7 +37,7 @@
 /**
  * Makes every decision of one gateway; its interface (events, actions, settings) is in Gateway.java.
  *
- * <p>It decides on the admission of requests, the order in which queued requests are released, the weights of request
+ * <p>It decides on the admission of requests, the order in which queued requests are dispatched, the weights of request
  * classes, the choice and the health of hosts, retries and the messages to peer gateways. It does no input or output
  * and reads no clock: it is called with events, each with its time, and answers with actions. Equal events lead to
  * equal actions. It isn't thread-safe.
@@ -83,7 +83,7 @@
     /** Share of the whole quota by which each new meter reading that leaves room raises a share with unmet demand. */
     private static final double SHARE_RAISE_STEP = 0.1;
 
-    /** An owner's report older than this no longer allows admission without asking the owner. */
+    /** An owner's report older than this no longer allows admission without a query to the owner. */
     private static final double FRESH_LEVEL_MS = 1000;
 
     /** Once an owner's report is older than this, the even share applies. */
@@ -119,7 +119,7 @@
     private static final double MAX_EXCESS_COST_SHARE = 0.03;
 
     /**
-     * Factor by which each request that is admitted raises the admission margin while {@link #MAX_EXCESS_COST_SHARE} is
+     * Factor by which each admitted request raises the admission margin while {@link #MAX_EXCESS_COST_SHARE} is
      * exceeded, and lowers it otherwise.
      */
     private static final double MARGIN_STEP = 1.05;
@@ -179,7 +179,7 @@
     /** Time that a request must have left before its deadline to wait for the counter's result. */
     private static final double COUNTER_CALL_ALLOWANCE_MS = 150;
 
-    // ---- constants: release of queued requests
+    // ---- constants: dispatch of queued requests
 
     /** Extra concurrency for bursts, in square roots of the even share of the fleet's concurrency. */
     private static final double BURST_HEADROOM = 0.7;
@@ -232,7 +232,7 @@
     /** Mean latency, as a share of the goal, that is always taken as queueing. */
     private static final double QUEUEING_GOAL_SHARE = 0.5;
 
-    /** Weight of one release in the mean gap between releases. */
+    /** Weight of one dispatch in the mean gap between dispatches. */
     private static final double DISPATCH_GAP_GAIN = 0.1;
 
     /** Expected time of the largest request before the first response, as a share of the latency goal. */
@@ -321,7 +321,7 @@
     /** Retries that each first attempt earns. */
     private static final double RETRY_BUDGET_SHARE = 0.2;
 
-    /** Largest number of retries that can be saved up. */
+    /** Size of the token bucket of retries. */
     private static final double MAX_RETRY_TOKENS = 20;
 
     /** Share of a key's window in which a retry may leave; the rest covers the way to the host. */
@@ -399,7 +399,7 @@
     /** Capacity of the eligible hosts, in warm hosts. */
     private double warmCapacity;
 
-    /** The virtual time of fair queueing: that of the class that released last. */
+    /** The virtual time of fair queueing: that of the class that dispatched last. */
     private double virtualTime;
 
     private double retryTokens = MAX_RETRY_TOKENS / 2;
@@ -454,7 +454,7 @@
     @Override
     public void requestReceived(double now, Request details) {
         ClassState classState = classes.get(details.requestClass());
-        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN); // nothing is known of its class
+        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN);
         if (classState == null) return;
         Integer planNumber = planNumbers.get(details.plan());
         CustomerState customer = planNumber == null
@@ -472,7 +472,7 @@
         flushOutbox(now);
     }
 
-    /** Admits a request: charges its units and releases it or puts it into its class's queue. */
+    /** Admits a request: charges its units, puts it into its class's queue and dispatches it if it can. */
     private void admit(double now, RequestState request) {
         ClassState classState = request.classState;
         request.admitted = true;
@@ -615,7 +615,10 @@
                 customer.capTokens + plan.capRate() * capShare(customer) * elapsedSeconds);
     }
 
-    /** Counts only a share of the others' part of the burst as free, since all gateways of the set do the same. */
+    /**
+     * The largest number of spare units. Only a share of the others' part of the burst counts as free, since all
+     * gateways of the set make the same estimate.
+     */
     private double maxSpareUnits(CustomerState customer, double share) {
         return customer.plan.burst() * (share + (1.0 / processCount - share) * OTHERS_FREE_SHARE);
     }
@@ -675,7 +678,7 @@
     }
 
     /**
-     * Returns whether this gateway, as an owner, doesn't know the use before its start. This ends when a peer
+     * Returns whether this gateway, as an owner, has no report of the use before its start. This ends when a peer
      * reports the level, or once the time since the start has refilled a whole burst, so that the earlier use no longer
      * matters.
      */
@@ -683,7 +686,7 @@
         return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
     }
 
-    /** Decides whether to admit a request or, if this gateway can't decide it, whether an owner or the counter does. */
+    /** Decides on a request or, if this gateway can't decide it, whether an owner or the counter is to be queried. */
     private AdmissionVerdict decideAdmission(double now, RequestState request) {
         CustomerState customer = request.customer;
         double units = request.details.units();
@@ -709,7 +712,8 @@
                 || (queriesOwner || usesCounter(customer))
                         && now - customer.sharedLevelAt < FRESH_LEVEL_MS
                         && customer.quotaLevel - unseenUseReserve(now, customer) >= units;
-        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: the own share needs no peer
+        // Rule 5: the own share of the cap may be spent without a query to a peer.
+        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units;
         if (hasRoom && hasCapRoom) return AdmissionVerdict.ADMIT;
         request.requestedUnits = units;
         if (usesCounter(customer) && hasCapRoom && drawsCounterCall(now, request, roomChance(request)))
@@ -724,7 +728,7 @@
                         < settings.coordination().maxUnitsPerRequest();
     }
 
-    /** Returns whether a share shows nothing of the whole quota, so that the counter is called as often as possible. */
+    /** Returns whether a share of the quota is too small to show its state, so that {@link #decideWideSet} decides. */
     private boolean hasWideSet(CustomerState customer) {
         return hasTooSmallShares(customer)
                 && customer.plan.capRate() <= 0
@@ -754,7 +758,7 @@
                     : AdmissionVerdict.REFUSE;
         boolean admits = isAdmissionWorthwhile(now, request);
         boolean foundEmpty = customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)) == CounterVerdict.EMPTY;
-        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // the counter refused a moment ago
+        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // a recent call found the quota empty
         boolean callsCounter =
                 drawsCounterCall(now, request, admits ? expectedExcessCost(now, request) : roomChance(request));
         if (!callsCounter && admits) adjustAdmissionMargin(request, roomChance(request));
@@ -802,7 +806,7 @@
         return EVIDENCE_BURSTS * 1000 * plan.burst() / plan.rate();
     }
 
-    /** What is known of a request's customer without a call: the last counter result and meter reading. */
+    /** The index of the evidence on a request's customer: the last counter result and meter reading. */
     private int evidenceIndex(double now, RequestState request) {
         CustomerState customer = request.customer;
         double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
@@ -824,7 +828,7 @@
         return rate * (now - customer.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
-    /** Returns whether the limit of open requests allows one more; of the own share, if the others' aren't known. */
+    /** Returns whether the limit of open requests allows one more: by the own share, if the others' aren't known. */
     private boolean isBelowOpenLimit(double now, CustomerState customer) {
         int limit = customer.plan.openLimit();
         boolean knowsOthers = customer.spread == 1
@@ -897,7 +901,7 @@
 
     @Override
     public void processCountChanged(double now, int count) {
-        // Saved tokens are split evenly with new processes.
+        // The tokens are split evenly with new processes.
         double keptShare = Math.min(1, (double) processCount / count);
         customers.values().forEach(customer -> refill(now, customer));
         processCount = count;
@@ -1057,7 +1061,7 @@
         for (CustomerState customer : new ArrayList<>(unreportedCustomers)) {
             boolean windowEnded =
                     hasWideSet(customer) && customer.counterWindow != customer.windowAt(now, COUNTER_LIFETIME_MS);
-            if (windowEnded) customer.unreportedUnits = 0; // the name of an ended window is no longer read
+            if (windowEnded) customer.unreportedUnits = 0; // no gateway reads the counter name of an ended window
             if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
             else if (!customer.callInFlight
                     && now - customer.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
@@ -1086,7 +1090,7 @@
         }
         request.ownerIndex = owner == customer.owners[0] ? 0 : customer.owners.length - 1;
         request.queriedOwner = owner;
-        request.querySerial = peers[owner].sentSerial + 1; // of the next message; the last one didn't carry this query
+        request.querySerial = peers[owner].sentSerial + 1; // of the next message, which will carry this query
         request.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!customer.pending.contains(request)) customer.pending.addLast(request);
         ownerQueries.add(request);
@@ -1104,7 +1108,7 @@
     }
 
     /**
-     * Passes queries without an answer to the next owner, and sends the silent one no further queries for a while. Only
+     * Passes queries without an answer to the next owner, and sends the unresponsive one no queries for a while. Only
      * a missing answer shows that a peer doesn't respond.
      */
     private void expireOwnerQueries(double now) {
@@ -1352,7 +1356,7 @@
         }
     }
 
-    // ---- release
+    // ---- dispatch of queued requests
 
     /** The limit of attempts in flight: an even share of the fleet's concurrency and headroom for random bursts. */
     private double concurrencyLimit() {
@@ -1360,7 +1364,7 @@
         return Math.max(1, evenShare + BURST_HEADROOM * Math.sqrt(evenShare) * (1 - 1.0 / peers.length));
     }
 
-    /** Work-conserving fair queueing: the backlogged class with the smallest virtual time goes next. */
+    /** Dispatches by work-conserving fair queueing: the backlogged class with the smallest virtual time is next. */
     private void dispatchQueued(double now) {
         double limit = concurrencyLimit();
         LinkedHashSet<ClassState> blocked = new LinkedHashSet<>();
@@ -1447,7 +1451,7 @@
         else actions.fail(request.details.id());
     }
 
-    /** Closes a request: its client waits for no response any more. If it was never sent, its units are returned. */
+    /** Closes a request: its client no longer waits for a response. If it was never sent, its units are returned. */
     private void closeRequest(double now, RequestState request) {
         if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
         if (request.closed) return;
@@ -1524,7 +1528,7 @@
                 worst = classState;
             surplus += surplus(classState);
         }
-        if (worst == null || surplus <= 0) return false; // all meet their goals, or none has a surplus
+        if (worst == null || surplus <= 0) return false; // no class misses its goal, or none has a surplus
         double wanted =
                 worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -108,7 +108,7 @@
         }
     }
 
-    /** What is known of a peer gateway, and the customers of which messages to it are due. */
+    /** The state of a peer gateway, with the customers on which messages to it are due. */
     static final class PeerState {
         final int number;
         final LinkedHashSet<CustomerState> dueReports = new LinkedHashSet<>(); // for it as an owner
@@ -126,7 +126,7 @@
         }
     }
 
-    /** What a gateway of a customer's set and an owner know of each other; it is reset when either of them restarts. */
+    /** What a gateway of a customer's set and an owner have exchanged; it is reset when either of them restarts. */
     static final class MemberState {
         int epoch;
         boolean hasReported;
@@ -160,10 +160,10 @@
         double unsentUnits; // cap units of admitted requests that are not sent yet
         double sharedLevelAt = NEVER; // when an owner or the counter last reported the level
         double ownerNotifiedAt = NEVER;
-        boolean informed; // as an owner: knows the use before its start
+        boolean informed; // a peer has reported the level since this process started
         final UsageHistory usageHistory = new UsageHistory();
         int lastMeterReading; // 0 before the first one
-        double meterTotal; // use by the meter, older periods weighted less
+        double meterTotal; // use that the meter reported, older periods weighted less
         double meterOwn; // use at this gateway in the same periods, with the same weights
         double meterShare;
         double meterSeconds; // time that the two figures above cover
@@ -194,7 +194,7 @@
             this.refilledAt = now;
         }
 
-        /** What this gateway and a peer know of each other on this customer; it is reset when the peer restarts. */
+        /** What this gateway and a peer have exchanged on this customer; it is reset when the peer restarts. */
         MemberState member(PeerState peer) {
             MemberState member = members.get(peer.number);
             if (member == null || member.epoch != peer.epoch) {
@@ -478,14 +478,14 @@
         boolean admitted;
         Gateway.Refusal refusal = Gateway.Refusal.PART; // reason, if it is refused
         double callProbability; // share of such requests for which a counter call is made
-        int evidenceIndex; // index of what was known of its customer on arrival
+        int evidenceIndex; // of the evidence on its customer at its arrival
         double requestedUnits; // units that its counter call adds for itself
         double sampledUnits; // units that it adds for requests admitted without a call
         boolean countedInTotal; // its units are part of the counter's total
         boolean closed;
         boolean streaming;
-        int ownerIndex; // position of the asked owner among the customer's owners
-        int queriedOwner; // number of the asked owner
+        int ownerIndex; // position of the queried owner among the customer's owners
+        int queriedOwner; // number of the queried owner
         int querySerial; // number of the message that carried the query
         double answerDueAt; // the answer counts as missing from this time on
 
--- a/src/main/java/deckfall/PeerMessage.java
+++ b/src/main/java/deckfall/PeerMessage.java
@@ -10,7 +10,7 @@
  * far as the sender knows it, the serial number of this message, the serial number of the last message received from
  * the receiver, and entries on customers. An epoch is one run of a gateway process.
  *
- * <p>This class only translates. Amounts are fixed-point numbers that are clamped to the range of their fields.
+ * <p>This class only encodes and decodes. Amounts are fixed-point numbers, clamped to the range of their fields.
  */
 record PeerMessage(int epoch, int receiverEpoch, int serial, int receivedSerial, List<Entry> entries) {
     static final int HEADER_BYTES = 16;
@@ -38,7 +38,7 @@
      *
      * @param cap in a report, whether the wanted units exceed the gateway's share of the cap; in an answer, whether it
      *     carries the total of cap units given
-     * @param uninformed in an answer, whether the owner doesn't know the use before its start
+     * @param uninformed in an answer, whether the owner has no report of the use before its start
      */
     record Entry(
             boolean answer,
--- a/src/test/java/deckfall/DecisionModuleTest.java
+++ b/src/test/java/deckfall/DecisionModuleTest.java
@@ -23,7 +23,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Checks the release of requests, class weights, host health, determinism and the layout of the policy files. */
+/** Checks the dispatch of requests, class weights, host health, determinism and the layout of the policy files. */
 class DecisionModuleTest {
     private static final int MAX_LINE_WIDTH = 120; // the formatter's
 
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -138,7 +138,7 @@
         assertTrue(coldAttempts >= 1 && coldAttempts < 10, "cold host got " + coldAttempts);
     }
 
-    /** Sends one request each 20 ms, answered after 160 ms, so that eight are in flight at a time. */
+    /** Sends one request each 20 ms, whose response arrives after 160 ms, so that eight are in flight at a time. */
     private static void sendSteadyLoad(GatewayHarness gateway, int i) {
         gateway.request("w" + i, "read");
         gateway.advance(20);
