--- a/src/main/java/deckfall/Gateway.java
+++ b/src/main/java/deckfall/Gateway.java
@@ -74,7 +74,7 @@
         UNKNOWN,
         /** This gateway's share of the quota lacks the units, and the counter was not called or gave no result. */
         PART,
-        /** The whole quota is known to lack the units. */
+        /** The whole quota doesn't have the units. */
         QUOTA,
         /** The customer has as many open requests as its plan allows. */
         OPEN,
@@ -112,6 +112,7 @@
      * @param excessCost cost of a unit served beyond the quota, relative to its worth inside the quota
      * @param capRate units a second of the cap, which is never exceeded
      * @param capBurst units that the cap's bucket holds
+     * @param capSlack read from the settings; no decision depends on it
      */
     public record Plan(
             String name,
@@ -140,7 +141,11 @@
         }
     }
 
-    /** What a gateway may do for a request, and whether gateways may exchange messages. */
+    /**
+     * What a gateway may do for a request, and whether gateways may exchange messages. No decision depends on {@code
+     * mayDuplicate}, {@code mayProbe} and {@code mayAdviseRetry}; a {@code maxRetryAfterMs} of 0 means that refusals
+     * advise no retry.
+     */
     public record Limits(
             int maxAttempts,
             boolean mayDuplicate,
@@ -152,11 +157,13 @@
             double connectTimeoutMs) {}
 
     /**
-     * The rules on drains, cold hosts and late responses.
+     * The rules on drains, cold hosts and late responses. The decision module uses only {@code coldLoadMultiple},
+     * {@code coldCapacity} and {@code hostWarmUpMs}.
      *
-     * @param fallMultiple load that a cold host may get, as a multiple of its capacity share
-     * @param coldFrom capacity of a host that has just started, as a share of a warm host's
-     * @param warmWithinMs time after its start at which a host is warm
+     * @param coldLoadMultiple load that a cold host may get, as a multiple of its capacity share
+     * @param coldLoadWindowMs time window over which that load is limited
+     * @param coldCapacity capacity of a host that has just started, as a share of a warm host's
+     * @param hostWarmUpMs time after its start at which a host is warm
      */
     public record Rules(
             double responseSlackMs,
@@ -227,7 +234,7 @@
     /**
      * The result of an attempt.
      *
-     * @param requestClosed whether the client waits for no response any more: it has got one, or it has left
+     * @param requestClosed whether the client no longer waits for a response: it has got one, or it has disconnected
      * @param meterReading percentage of its quota that the customer used in a metered period, plus 1; 0 if none came
      * @param actualUnits units that the request has actually used; 0 if they aren't known
      */
@@ -242,7 +249,7 @@
             double actualUnits,
             double[] loadMetrics) {}
 
-    /** What one process of a gateway knows of a customer, for a process that serves beside it or replaces it. */
+    /** The state of a customer in one process of a gateway, for a process that serves in addition or replaces it. */
     public record CustomerSnapshot(
             long customer,
             int plan,
@@ -295,7 +302,7 @@
         /** An attempt has ended. */
         void attemptEnded(double now, AttemptResult result);
 
-        /** The client of a request has left before the response. */
+        /** The client of a request has disconnected before the response. */
         void clientDisconnected(double now, String id);
 
         /** A timer that was started with this token has fired. */
@@ -313,10 +320,10 @@
         /** The number of processes of this gateway, including this one, has changed; they split the gateway's share. */
         void processCountChanged(double now, int processes);
 
-        /** Returns what this process knows of its customers. This is a query and causes no action. */
+        /** Returns the state of this process's customers. This is a query and causes no action. */
         List<CustomerSnapshot> snapshotCustomers(double now);
 
-        /** Restores what another process of this gateway knew of customers that this process hasn't seen. */
+        /** Restores the state that another process of this gateway had of customers that this process hasn't seen. */
         void restoreCustomers(double now, List<CustomerSnapshot> snapshots);
 
         /** Returns how many listed hosts get no request as long as others are available. This is a query. */
@@ -346,7 +353,7 @@
         /** Sends a message to another gateway, given by its number; it may be lost. */
         void sendPeerMessage(int peer, byte[] data);
 
-        /** Adds an amount to a named counter and asks for its total; the counter starts anew after its lifetime. */
+        /** Adds an amount to a named counter and requests its total; the counter starts anew after its lifetime. */
         void addToCounter(String counter, double amount, double lifetimeMs);
 
         /** Subscribes to the host list. */
