--- a/src/main/java/deckfall/scale/QuotaAccounting.java
+++ b/src/main/java/deckfall/scale/QuotaAccounting.java
@@ -91,7 +91,7 @@
         return worthSentInQuota;
     }
 
-    /** The cost of use beyond the quotas as a share of the worth offered within them. */
+    /** The cost of the excess as a share of the worth offered within the quotas. */
     double excessCostShare() {
         return worthOfferedInQuota > 0 ? excessCost / worthOfferedInQuota : 0;
     }
--- a/src/main/java/deckfall/scale/RunStatistics.java
+++ b/src/main/java/deckfall/scale/RunStatistics.java
@@ -9,8 +9,8 @@
 /** The statistics of a run. All except the total numbers of requests cover the measured period only. */
 final class RunStatistics {
     /**
-     * How a request ended, named in reports in lower case. {@code UNANSWERED} means that the decision module did not
-     * answer it before its deadline, which is a defect.
+     * How a request ended, named in reports in lower case. {@code UNANSWERED} means that it got no response
+     * before its deadline, which is a defect.
      */
     enum RequestOutcome {
         SERVED,
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -91,7 +91,7 @@
         pendingCalls.clear();
     }
 
-    /** Takes over the state of another process of the same gateway, next to which it serves from now on. */
+    /** Takes over the state of another process of the same gateway; both serve from now on. */
     void takeOver(SimulatedGateway predecessor) {
         deliver(
                 EventKind.OTHER,
