--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -831,12 +831,12 @@
     /** Returns whether the limit of open requests allows one more: by the own share, if the others' aren't known. */
     private boolean isBelowOpenLimit(double now, CustomerState customer) {
         int limit = customer.plan.openLimit();
-        boolean knowsOthers = customer.spread == 1
+        boolean othersKnown = customer.spread == 1
                 || settings.limits().mayMessagePeers()
                         && (decidingOwner(now, customer, 0) == settings.gatewayNumber()
                                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
-                || (knowsOthers
+                || (othersKnown
                         ? customer.openRequests + customer.othersOpenRequests < limit
                         : customer.openRequests < Math.max(1, (int) (limit * processShare(now, customer))));
     }
--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -26,7 +26,7 @@
 final class ColdServerSimulation {
     private static final int GATEWAYS = 30;
     private static final int SLOTS = 4; // requests that a server runs at a time
-    private static final int QUEUE_PLACES = 4 * SLOTS; // for requests that wait for a slot
+    private static final int QUEUE_SLOTS = 4 * SLOTS; // for requests that wait for a slot
     private static final double MEAN_SERVICE_MS = 200; // on a warm server
     private static final double WARM_UTILIZATION = 0.6; // of the capacity of all servers
     private static final double BURST_FACTOR = 1.5; // times the request rate, from COLD_STOP_MS on
@@ -90,7 +90,7 @@
         void accept(Attempt attempt) {
             if (!up) attemptEnded(attempt, Outcome.CONNECT_FAILED);
             else if (inService.size() < SLOTS) serve(attempt);
-            else if (queue.size() < QUEUE_PLACES) queue.add(attempt);
+            else if (queue.size() < QUEUE_SLOTS) queue.add(attempt);
             else attemptEnded(attempt, Outcome.FULL);
         }
 
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void requestWithNoTimeLeftIsAnsweredAtOnce() {
+    void requestWithNoTimeLeftIsRefusedAtOnce() {
         // Run port-louis rules-3: a late retry was held until the next timer tick, which was after its deadline.
         GatewayHarness gateway = GatewayHarness.singleGateway();
         gateway.module.requestReceived(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void attemptTimeoutAtTheDeadlineIsAnswered() {
+    void requestEndsWhenItsAttemptTimesOutAtTheDeadline() {
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1");
         gateway.request("r", "read");
         gateway.request("p", "pay");
--- a/src/test/java/deckfall/scale/SimulationRunTest.java
+++ b/src/test/java/deckfall/scale/SimulationRunTest.java
@@ -115,7 +115,7 @@
 
     @ParameterizedTest
     @CsvSource({"1", "2", "3"})
-    void overQuotaUseIsBoundedAtALowCounterRate(String seed) {
+    void excessIsBoundedAtALowCounterRate(String seed) {
         Map<String, Object> figures = simulateWideSets("--seed", seed);
         assertTrue(((Number) figures.get("calls_per_try")).doubleValue() < 0.7, figures.toString());
         assertTrue(((Number) figures.get("over_quota_price")).doubleValue() < 0.15, figures.toString());
