--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -841,7 +841,7 @@
                         : customer.openRequests < Math.max(1, (int) (limit * processShare(now, customer))));
     }
 
-    /** The time until the quota has refilled enough; every refusal advises one. */
+    /** The retry delay that a refusal advises: the time until the quota has refilled enough. */
     private double retryAfterMs(double now, CustomerState customer, double units) {
         if (customer.plan.rate() <= 0) return boundRetryAfterMs(0);
         double quotaWaitMs = 1000 * (units - customer.quotaLevel) / customer.plan.rate();
@@ -1071,7 +1071,10 @@
 
     // ---- queries to owners
 
-    /** Holds a request until the next available owner answers; if there is none, the even share decides. */
+    /**
+     * Queries the next available owner on a request and holds the request until it answers. If no owner is available or
+     * the deadline is near, this gateway decides.
+     */
     private void queryOwner(double now, RequestState request, int ownerIndex) {
         CustomerState customer = request.customer;
         int owner = ownerIndex < customer.owners.length ? decidingOwner(now, customer, ownerIndex) : -1;
--- a/src/main/java/deckfall/DecisionState.java
+++ b/src/main/java/deckfall/DecisionState.java
@@ -360,7 +360,7 @@
         }
     }
 
-    /** How many times slower than usual a host, or a class on a host, was last taken to be, and when. */
+    /** The slowness of a host, or of a class on a host: a multiple of its usual latency, which decays to 1. */
     static final class Health {
         /** Largest slowness that is recorded. */
         static final double MAX_SLOWNESS = 12;
@@ -383,7 +383,7 @@
         }
     }
 
-    /** A host as this gateway sees it. */
+    /** The state that this gateway keeps on a host. */
     static final class TrackedHost {
         /** Smallest capacity share, so that a score divided by it stays finite. */
         private static final double MIN_CAPACITY_SHARE = 0.01;
--- a/src/main/java/deckfall/scale/GatewayProcess.java
+++ b/src/main/java/deckfall/scale/GatewayProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** The process of a real gateway, started as on the platform. It ends with the run in any case. */
+/** The process of a real gateway, started with the command of the deployment and killed at the latest with the run. */
 final class GatewayProcess {
     private static final long STOP_TIMEOUT_SECONDS = 5; // after SIGTERM; then the process is killed
     private static final String RESIDENT_MEMORY_KEY = "VmRSS:";
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -18,12 +18,12 @@
 /**
  * One process of a gateway without its sockets: the real decision module, whose actions are executed on the simulated
  * services once it has returned, so that its measured time contains nothing else. It keeps the guarantees that the
- * surrounding program gives to the module: attempts end at the deadline of their request, and a late reply to a
+ * node of the real process gives to the module: attempts end at the deadline of their request, and a late reply to a
  * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
-    private static final int MAX_OPEN_CALLS = 256; // limit of calls on the program's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // until the program abandons the counter connection
+    private static final int MAX_OPEN_CALLS = 256; // as on a node's connection to the counter
+    private static final double STUCK_CONNECTION_MS = 5000; // until a node gives up its counter connection
     private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** The kinds of events. The kind decides whether requests wait for the counter calls that an event causes. */
