--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -23,7 +23,7 @@
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
     private static final int MAX_OPEN_CALLS = 256; // as on a node's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // until a node gives up its counter connection
+    private static final double MAX_CALL_AGE_MS = 5000; // until a node gives up its counter connection
     private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** The kinds of events. The kind decides whether requests wait for the counter calls that an event causes. */
@@ -285,7 +285,7 @@
         openCalls++;
         fleet.callCounter(
                 this, call.name, call.amount, call.lifetimeMs, fleet.options.counterTimeoutMs, (outcome, total) -> {
-                    fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? STUCK_CONNECTION_MS : 0, () -> openCalls--);
+                    fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? MAX_CALL_AGE_MS : 0, () -> openCalls--);
                     counterCallEnded(call.name, outcome, total);
                 });
     }
