--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -6,17 +6,17 @@
 
 /** One attempt to get an open request served by one host. */
 final class Attempt extends HostClient.Exchange {
-    final OpenRequest owner;
+    final OpenRequest openRequest;
     final int number;
     final String host;
     double sentAt; // for a streamed request, when the last byte of its body was sent
     private final Node node;
     boolean ended;
 
-    Attempt(Node node, OpenRequest owner, String host, double sentAt) {
+    Attempt(Node node, OpenRequest openRequest, String host, double sentAt) {
         this.node = node;
-        this.owner = owner;
-        this.number = owner.attempts.size();
+        this.openRequest = openRequest;
+        this.number = openRequest.attempts.size();
         this.host = host;
         this.sentAt = sentAt;
     }
@@ -38,7 +38,7 @@
 
     @Override
     IncomingRequest requestBody() {
-        return owner.message;
+        return openRequest.message;
     }
 
     @Override
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -315,7 +315,7 @@
 
     /** The complete message if its body has been received, else only its head. */
     private HttpRequest requestFor(Attempt attempt) {
-        IncomingRequest message = attempt.owner.message;
+        IncomingRequest message = attempt.openRequest.message;
         HttpRequest original = message.head;
         HttpRequest request = message.complete()
                 ? new DefaultFullHttpRequest(
@@ -323,9 +323,9 @@
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, original.method(), message.uri);
         HttpHeaders headers = request.headers();
         headers.set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
-        headers.set(HeaderNames.TRACE_ID, attempt.owner.traceId);
+        headers.set(HeaderNames.TRACE_ID, attempt.openRequest.traceId);
         headers.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long)
-                Math.max(1, attempt.owner.deadlineMs - node.clock.now())));
+                Math.max(1, attempt.openRequest.deadlineMs - node.clock.now())));
         String key = original.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (key != null) {
             headers.set(HeaderNames.IDEMPOTENCY_KEY, key);
@@ -541,7 +541,7 @@
         }
 
         private String traceId() {
-            return exchange instanceof Attempt a ? a.owner.traceId : "none";
+            return exchange instanceof Attempt a ? a.openRequest.traceId : "none";
         }
 
         /** Ends the exchange without a response. The host may have run the request only if its last byte was sent. */
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -621,7 +621,7 @@
             return;
         }
         attempt.ended = true;
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         if (outcome == Outcome.OK) {
             ClientConnection client = closeRequest(openRequest);
             if (client != null) {
@@ -639,7 +639,7 @@
      */
     private void reportAttempt(Attempt attempt, Outcome outcome, HttpResponse response) {
         tally.addAttempt(outcome);
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         openRequest.attemptsInFlight--;
         boolean closed = openRequest.closed();
         double latencyMs = clock.now() - attempt.sentAt;
@@ -681,7 +681,7 @@
             return null;
         }
         attempt.ended = true;
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         ClientConnection client = openRequest.close();
         ResponseTransfer transfer =
                 client == null ? null : new ResponseTransfer(this, openRequest.request.requestClass(), client, source);
@@ -756,7 +756,7 @@
     /** Whether an attempt may be sent now. An attempt that may not be sent ends as one that never ran. */
     boolean maySend(Attempt attempt) {
         DispatchRule.Verdict verdict = DispatchRule.check(
-                attempt.owner,
+                attempt.openRequest,
                 attempt.number,
                 clock.now(),
                 config.settings().limits().maxAttempts(),
@@ -766,7 +766,7 @@
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientDisconnected(attempt.owner); // ends all attempts that have not started
+            clientDisconnected(attempt.openRequest); // ends all attempts that have not started
         }
         if (!attempt.ended) {
             attempt.abandon();
@@ -777,9 +777,9 @@
 
     /** Checks at run time that {@link #maySend} was obeyed: no byte is written for a request that has ended. */
     void checkBeforeWrite(Attempt attempt) {
-        if (attempt.ended || attempt.owner.closed() || drainExpired) {
+        if (attempt.ended || attempt.openRequest.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
-            log("defect: request " + attempt.owner.traceId + " sent to " + attempt.host + " after its end");
+            log("defect: request " + attempt.openRequest.traceId + " sent to " + attempt.host + " after its end");
         }
     }
 
