--- a/src/main/java/deckfall/net/Attempt.java
+++ b/src/main/java/deckfall/net/Attempt.java
@@ -9,16 +9,16 @@
     final OpenRequest openRequest;
     final int number;
     final String host;
-    double sentAt; // for a streamed request, when the last byte of its body was sent
+    double sentAtMs; // for a streamed request, when the last byte of its body was sent
     private final Node node;
     boolean ended;
 
-    Attempt(Node node, OpenRequest openRequest, String host, double sentAt) {
+    Attempt(Node node, OpenRequest openRequest, String host, double sentAtMs) {
         this.node = node;
         this.openRequest = openRequest;
         this.number = openRequest.attempts.size();
         this.host = host;
-        this.sentAt = sentAt;
+        this.sentAtMs = sentAtMs;
     }
 
     @Override
--- a/src/main/java/deckfall/net/CounterClient.java
+++ b/src/main/java/deckfall/net/CounterClient.java
@@ -35,7 +35,7 @@
     /** A call whose end is reported once, at its timeout at the latest. Its reply may still arrive after that. */
     private final class Call {
         final String counter;
-        final double sentAt = node.clock.now();
+        final double sentAtMs = node.clock.now();
         boolean completed;
 
         Call(String counter) {
@@ -102,7 +102,9 @@
     /** Adds an amount to a counter. The result is reported by {@link Node#counterCallEnded}. */
     void add(String counter, double amount, double lifetimeMs) {
         Call call = new Call(counter);
-        if (!pendingCalls.isEmpty() && call.sentAt - pendingCalls.peek().sentAt > MAX_CALL_AGE_MS && channel != null) {
+        if (!pendingCalls.isEmpty()
+                && call.sentAtMs - pendingCalls.peek().sentAtMs > MAX_CALL_AGE_MS
+                && channel != null) {
             channel.close();
         }
         if (channel == null || !channel.isActive() || pendingCalls.size() >= MAX_PENDING_CALLS) {
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -283,8 +283,8 @@
         node.loop.schedule(this::closeIdle, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         for (Pool pool : pools.values()) {
             pool.raiseIdleLimit();
-            double oldestUsable = node.clock.now() - pool.idleLimitMs;
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince < oldestUsable) {
+            double oldestUsableMs = node.clock.now() - pool.idleLimitMs;
+            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSinceMs < oldestUsableMs) {
                 pool.idle.pollFirst().channel.close();
             }
         }
@@ -348,7 +348,7 @@
     void probe(String host) {
         List<String> names = node.config.settings().loadMetricNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
-        double sentAt = node.clock.now();
+        double sentAtMs = node.clock.now();
         Exchange probe = new Exchange() {
             private boolean ended;
 
@@ -359,7 +359,7 @@
                     node.probeEnded(
                             host,
                             outcome,
-                            node.clock.now() - sentAt,
+                            node.clock.now() - sentAtMs,
                             response == null
                                     ? new double[0]
                                     : parseLoadMetrics(response.content().toString(StandardCharsets.US_ASCII)));
@@ -409,7 +409,7 @@
         double now = node.clock.now();
         for (Iterator<Connection> lastFirst = pool.idle.descendingIterator(); lastFirst.hasNext(); ) {
             Connection connection = lastFirst.next();
-            double idleMs = now - connection.idleSince;
+            double idleMs = now - connection.idleSinceMs;
             if (idleMs < REUSE_DELAY_MS) {
                 continue;
             }
@@ -473,9 +473,9 @@
         private boolean transferComplete; // the same for a streamed response
         private boolean unexpectedData; // data arrived that no request asked for
         private boolean requestWritten; // the last byte of the request was sent
-        private double idleSince;
+        private double idleSinceMs;
         private double idleBeforeRequestMs; // how long the connection was idle before the current request
-        private double writeStartedAt;
+        private double writeStartedAtMs;
 
         Connection(Pool pool) {
             this.pool = pool;
@@ -487,7 +487,7 @@
             next.started = true;
             next.beforeWrite();
             requestWritten = false;
-            writeStartedAt = node.clock.now();
+            writeStartedAtMs = node.clock.now();
             if (message instanceof FullHttpRequest) {
                 channel.writeAndFlush(message).addListener(f -> onRequestWritten(next, f.isSuccess()));
             } else {
@@ -522,7 +522,7 @@
             Exchange current = exchange;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
                 if (current instanceof Attempt a) {
-                    a.sentAt = node.clock.now();
+                    a.sentAtMs = node.clock.now();
                 }
                 onRequestWritten(current, f.isSuccess());
             });
@@ -548,7 +548,7 @@
         private void connectionLost() {
             if (exchange != null
                     && idleBeforeRequestMs > MIN_IDLE_LIMIT_MS
-                    && node.clock.now() - writeStartedAt < STALE_CONNECTION_MS) {
+                    && node.clock.now() - writeStartedAtMs < STALE_CONNECTION_MS) {
                 node.tally.note(
                         Tally.Count.CLOSED_EARLY,
                         traceId(),
@@ -738,7 +738,7 @@
                     && !decoder.hasPartialMessage()
                     && !pool.closed
                     && HttpUtil.isKeepAlive(responseHead)) {
-                idleSince = node.clock.now();
+                idleSinceMs = node.clock.now();
                 pool.idle.addLast(this);
             } else {
                 channel.close();
@@ -763,7 +763,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (pool.idle.remove(this)) {
                 // Closed by the host: connections that this side closes leave the pool first.
-                pool.lowerIdleLimit(node.clock.now() - idleSince);
+                pool.lowerIdleLimit(node.clock.now() - idleSinceMs);
             }
             connectionLost();
             takeBufferedBody().release();
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -642,7 +642,7 @@
         OpenRequest openRequest = attempt.openRequest;
         openRequest.attemptsInFlight--;
         boolean closed = openRequest.closed();
-        double latencyMs = clock.now() - attempt.sentAt;
+        double latencyMs = clock.now() - attempt.sentAtMs;
         double[] loadMetrics = response == null ? NO_LOAD_METRICS : hostClient.loadMetrics(response);
         int usedPct = response == null ? 0 : hostClient.usedPct(response);
         deliver((now, m) -> m.attemptEnded(
