--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -789,16 +789,16 @@
     // ---- quota meter
 
     /** The customer's reported use of its quota in percent, plus one; 0 if the response has no readable value. */
-    int usedPct(HttpResponse response) {
-        int used = 0;
+    int meterReading(HttpResponse response) {
+        int reading = 0;
         for (String value : response.headers().getAll(QUOTA_USED_HEADER)) {
             try {
-                used = Math.max(used, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
+                reading = Math.max(reading, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
             } catch (NumberFormatException e) {
                 // a malformed line beside a valid one is ignored
             }
         }
-        return used;
+        return reading;
     }
 
     // ---- load metrics
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -644,7 +644,7 @@
         boolean closed = openRequest.closed();
         double latencyMs = clock.now() - attempt.sentAtMs;
         double[] loadMetrics = response == null ? NO_LOAD_METRICS : hostClient.loadMetrics(response);
-        int usedPct = response == null ? 0 : hostClient.usedPct(response);
+        int meterReading = response == null ? 0 : hostClient.meterReading(response);
         deliver((now, m) -> m.attemptEnded(
                 now,
                 new AttemptResult(
@@ -654,7 +654,7 @@
                         outcome,
                         latencyMs,
                         closed,
-                        usedPct,
+                        meterReading,
                         0,
                         loadMetrics)));
         removeIfDone(openRequest);
