--- a/src/main/java/deckfall/net/DispatchRule.java
+++ b/src/main/java/deckfall/net/DispatchRule.java
@@ -24,8 +24,8 @@
     private DispatchRule() {}
 
     /** Checks an attempt. {@code attempt} counts from 0; {@code shutDown} is whether the drain's time is up. */
-    static Verdict check(OpenRequest openRequest, int attempt, double now, int maxAttempts, boolean shutDown) {
-        if (shutDown) {
+    static Verdict check(OpenRequest openRequest, int attempt, double now, int maxAttempts, boolean drainExpired) {
+        if (drainExpired) {
             return Verdict.SHUT_DOWN;
         }
         if (openRequest.closed()) {
