--- a/src/main/java/deckfall/net/ClientConnection.java
+++ b/src/main/java/deckfall/net/ClientConnection.java
@@ -188,7 +188,7 @@
             node.clientDisconnected(unfinished);
         }
         if (transfer != null) {
-            transfer.clientLeft();
+            transfer.clientDisconnected();
         }
         if (incoming != null) {
             incoming.release();
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -65,7 +65,7 @@
         }
     }
 
-    void clientLeft() {
+    void clientDisconnected() {
         if (markFinished()) {
             node.transferEnded(requestClass, null);
             source.abandon();
