--- a/src/main/java/deckfall/net/CallTiming.java
+++ b/src/main/java/deckfall/net/CallTiming.java
@@ -28,8 +28,8 @@
     private static final long TIMEOUT_MS = 1000; // added to the time that a call may hold
     private static final long LONG_TIMEOUT_MS = 2000; // for some calls, as discovery may be slow rather than silent
     // consecutive failures; never two long timeouts in succession, by the sums above
-    private static final int LONG_TIMEOUT_EVERY = 3;
-    private static final int UNREACHABLE_AFTER = 3; // consecutive failures; the address may be outdated
+    private static final int FAILURES_PER_LONG_TIMEOUT = 3;
+    private static final int FAILURES_PER_ADDRESS_RELOAD = 3; // consecutive failures; the address may be outdated
     // the maximum after a first failure, as a watch counts as broken only after 200 ms
     private static final long INITIAL_BACKOFF_MS = 80;
     private static final long MAX_BACKOFF_MS = 800; // spreads the return of a fleet that discovery has rejected
@@ -48,7 +48,9 @@
 
     /** The time limit of a connect, and of a response beyond the time that its call may hold. */
     long timeoutMs() {
-        return consecutiveFailures % LONG_TIMEOUT_EVERY == LONG_TIMEOUT_EVERY - 1 ? LONG_TIMEOUT_MS : TIMEOUT_MS;
+        return consecutiveFailures % FAILURES_PER_LONG_TIMEOUT == FAILURES_PER_LONG_TIMEOUT - 1
+                ? LONG_TIMEOUT_MS
+                : TIMEOUT_MS;
     }
 
     /** Records a failed call; returns the delay until the next connect. */
@@ -75,6 +77,6 @@
 
     /** Whether the address should be read again from the configuration. */
     boolean shouldReloadAddress() {
-        return consecutiveFailures > 0 && consecutiveFailures % UNREACHABLE_AFTER == 0;
+        return consecutiveFailures > 0 && consecutiveFailures % FAILURES_PER_ADDRESS_RELOAD == 0;
     }
 }
