--- a/src/main/java/deckfall/net/EventLoopLag.java
+++ b/src/main/java/deckfall/net/EventLoopLag.java
@@ -53,7 +53,8 @@
             ioHandled = true;
             firstIoNanos = now;
         }
-        long since = blocked() ? firstIoNanos : previousPollKnown ? previousPollNanos : iterationStartNanos;
-        return (now - since) / NANOS_PER_MS;
+        long earliestArrivalNanos =
+                blocked() ? firstIoNanos : previousPollKnown ? previousPollNanos : iterationStartNanos;
+        return (now - earliestArrivalNanos) / NANOS_PER_MS;
     }
 }
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -368,8 +368,8 @@
             }
 
             @Override
-            public void onSiblings(SiblingWatch.SiblingCounts seen) {
-                loop.execute(() -> siblingsChanged(seen));
+            public void onSiblings(SiblingWatch.SiblingCounts counts) {
+                loop.execute(() -> siblingsChanged(counts));
             }
 
             @Override
@@ -381,9 +381,9 @@
         return siblingWatch;
     }
 
-    private void siblingsChanged(SiblingWatch.SiblingCounts seen) {
-        siblings = seen;
-        updateProcessCount(1 + seen.serving());
+    private void siblingsChanged(SiblingWatch.SiblingCounts counts) {
+        siblings = counts;
+        updateProcessCount(1 + counts.serving());
     }
 
     private void updateProcessCount(int count) {
@@ -723,13 +723,13 @@
         deliver((now, m) -> m.probeEnded(now, host, outcome, latencyMs, loadMetrics));
     }
 
-    void counterCallEnded(String name, Outcome outcome, double total) {
+    void counterCallEnded(String counter, Outcome outcome, double total) {
         tally.addCounterCall(outcome);
-        deliver((now, m) -> m.counterCallEnded(now, name, outcome, total));
+        deliver((now, m) -> m.counterCallEnded(now, counter, outcome, total));
     }
 
-    void peerMessageReceived(int peer, byte[] data) {
-        deliver((now, m) -> m.peerMessageReceived(now, peer, data));
+    void peerMessageReceived(int sender, byte[] data) {
+        deliver((now, m) -> m.peerMessageReceived(now, sender, data));
     }
 
     // ---- actions of the decision module
@@ -835,8 +835,8 @@
     }
 
     @Override
-    public void addToCounter(String name, double amount, double lifetimeMs) {
-        counterClient.add(name, amount, lifetimeMs);
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
+        counterClient.add(counter, amount, lifetimeMs);
     }
 
     /** Does nothing, as discovery is always watched. */
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -151,12 +151,12 @@
     }
 
     /** The same settings for a node at {@code at} that is its own discovery and its only host. */
-    NodeConfig forWarmUp(InetSocketAddress at) {
+    NodeConfig forWarmUp(InetSocketAddress address) {
         ObjectNode self = JsonNodeFactory.instance
                 .objectNode()
                 .put("id", "self")
                 .put("state", "ready")
-                .put("addr", at.getAddress().getHostAddress() + ':' + at.getPort());
+                .put("addr", address.getAddress().getHostAddress() + ':' + address.getPort());
         JsonNode list = JsonNodeFactory.instance
                 .objectNode()
                 .put("version", 1)
@@ -165,9 +165,9 @@
                         Discovery.SERVERS_FIELD,
                         JsonNodeFactory.instance.arrayNode().add(self));
         return new NodeConfig(
-                at,
+                address,
                 null,
-                at,
+                address,
                 null,
                 null,
                 List.of(),
--- a/src/main/java/deckfall/net/PeerLink.java
+++ b/src/main/java/deckfall/net/PeerLink.java
@@ -82,15 +82,15 @@
 
     /** Sends a message to a peer, or to all of them with number -1. Messages to an unknown peer are dropped. */
     void send(int peer, byte[] data) {
-        InetSocketAddress to = peer == ALL_PEERS
+        InetSocketAddress recipient = peer == ALL_PEERS
                 ? node.config.peerBroadcast()
                 : peer >= 0 && peer < node.config.peers().size()
                         ? node.config.peers().get(peer)
                         : null;
-        if (channel == null || to == null || data.length > MAX_MESSAGE_BYTES) {
+        if (channel == null || recipient == null || data.length > MAX_MESSAGE_BYTES) {
             return;
         }
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), to), channel.voidPromise());
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), recipient), channel.voidPromise());
     }
 
     @Override
--- a/src/main/java/deckfall/net/RetryingSocketChannel.java
+++ b/src/main/java/deckfall/net/RetryingSocketChannel.java
@@ -62,10 +62,10 @@
     }
 
     @Override
-    protected int doReadBytes(ByteBuf to) throws Exception {
+    protected int doReadBytes(ByteBuf buffer) throws Exception {
         int read;
         try {
-            read = super.doReadBytes(to);
+            read = super.doReadBytes(buffer);
         } catch (IOException e) {
             if (isRetried(e, readFailures)) {
                 return 0; // the next iteration of the loop reads again
@@ -81,9 +81,9 @@
     }
 
     @Override
-    protected void doWrite(ChannelOutboundBuffer from) throws Exception {
+    protected void doWrite(ChannelOutboundBuffer buffer) throws Exception {
         try {
-            super.doWrite(from);
+            super.doWrite(buffer);
         } catch (IOException e) {
             if (!isRetried(e, writeFailures)) {
                 throw e;
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -36,7 +36,7 @@
         List<CustomerSnapshot> snapshotCustomers() throws InterruptedException, ExecutionException, TimeoutException;
 
         /** Called with the counts of the other processes, on the watch's thread. */
-        void onSiblings(SiblingCounts seen);
+        void onSiblings(SiblingCounts counts);
 
         /**
          * Called with the published counts of this process, which the others can read from now on, on the watch's
--- a/src/main/java/deckfall/net/StrictResponseDecoder.java
+++ b/src/main/java/deckfall/net/StrictResponseDecoder.java
@@ -16,9 +16,9 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
         int startIndex = in.readerIndex();
-        int previousSize = out.size();
+        int sizeBefore = out.size();
         super.decode(ctx, in, out);
-        messageProgress.decoded(in, startIndex, out, previousSize);
+        messageProgress.decoded(in, startIndex, out, sizeBefore);
     }
 
     @Override
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -51,8 +51,8 @@
     /** Runs a warm-up for the build. Returns when it is complete. */
     public static void run() throws IOException {
         Node.configureLogging();
-        InetSocketAddress at = freePort(InetAddress.getLoopbackAddress());
-        String address = at.getAddress().getHostAddress() + ':' + at.getPort();
+        InetSocketAddress socketAddress = freePort(InetAddress.getLoopbackAddress());
+        String address = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
         sendRequests(NodeConfig.of(new ObjectMapper().readTree(CONFIG_TEMPLATE.formatted(address))), MAX_DURATION_MS);
         exchangeSiblingFiles();
     }
@@ -93,9 +93,9 @@
         }
     }
 
-    private static InetSocketAddress freePort(InetAddress at) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, at)) {
-            return new InetSocketAddress(at, free.getLocalPort());
+    private static InetSocketAddress freePort(InetAddress address) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, address)) {
+            return new InetSocketAddress(address, socket.getLocalPort());
         }
     }
 
