--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -72,7 +72,7 @@
     }
 
     private static String nextRequestLine(Server discovery) throws InterruptedException {
-        return discovery.nextRequest().start();
+        return discovery.nextRequest().startLine();
     }
 
     /** If many gateways started at once with full lists, their calls would queue up and changes would arrive late. */
@@ -222,7 +222,7 @@
         String list = json.readTree(hostList(9, false, hostEntry("a", host.address(), "ready")))
                 .toPrettyString();
         Server discovery = closeLater(new Server((m, s) -> {
-            if (m.start().contains("hold_ms=0")) {
+            if (m.startLine().contains("hold_ms=0")) {
                 s.setTcpNoDelay(true);
                 for (byte b : okResponse(list)) {
                     s.getOutputStream().write(b);
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -227,7 +227,7 @@
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
         Message sent = host.nextRequest();
-        assertEquals("POST /order/x HTTP/1.1", sent.start());
+        assertEquals("POST /order/x HTTP/1.1", sent.startLine());
         assertEquals("id-1", sent.header("X-Trace-Id"));
         assertEquals("key-id-1", sent.header("Idempotency-Key"));
         assertEquals("two copies", sent.text());
@@ -235,7 +235,7 @@
         assertEquals(
                 200,
                 c.send(viewRequest("id-2", TestEndpoints.TIMEOUT_MS)).receive().status());
-        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.nextRequest().start());
+        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.nextRequest().startLine());
     }
 
     @Test
@@ -502,7 +502,7 @@
                 c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("/view", "http://h:1/view"))
                         .receive()
                         .text());
-        assertEquals("GET /view/v?z=3 HTTP/1.1", host.requests.get(2).start());
+        assertEquals("GET /view/v?z=3 HTTP/1.1", host.requests.get(2).startLine());
         Client old = client(node);
         old.send(viewRequest("w", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive"));
         assertEquals("keep-alive", old.receive().header("Connection"));
@@ -536,15 +536,17 @@
         Node node = nodeWithServers(host);
         Client c = client(node).send(viewRequest("v", 5000));
         java.io.InputStream in = c.socket.getInputStream();
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
-        while (got.size() < first) {
-            got.write(in.read());
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        while (received.size() < first) {
+            received.write(in.read());
         }
         assertEquals(1, metric(node, "concurrent"));
         firstRead.countDown();
-        String head = got.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
-        got.write(in.readNBytes(body.length - (got.size() - head.length() - 4)));
-        assertArrayEquals(body, java.util.Arrays.copyOfRange(got.toByteArray(), head.length() + 4, got.size()));
+        String head =
+                received.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
+        received.write(in.readNBytes(body.length - (received.size() - head.length() - 4)));
+        assertArrayEquals(
+                body, java.util.Arrays.copyOfRange(received.toByteArray(), head.length() + 4, received.size()));
         assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection stays open
         assertEquals(1, metric(node, "success_total{type=\"view\"}"));
         assertEquals(0, metric(node, "concurrent"));
@@ -566,9 +568,11 @@
             });
             Client c = client(nodeWithServers(host))
                     .send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
-            String got =
+            String received =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
-            assertTrue(got.startsWith("HTTP/1.1 200") && got.endsWith("\r\n\r\n" + body), got.split("\r\n\r\n")[0]);
+            assertTrue(
+                    received.startsWith("HTTP/1.1 200") && received.endsWith("\r\n\r\n" + body),
+                    received.split("\r\n\r\n")[0]);
             assertEquals(3, requestCount.get());
         }
     }
@@ -797,7 +801,7 @@
     void brokenWatchResumesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Server broken = closeLater(new Server((m, s) -> {
-            if (!m.start().contains("from=")) {
+            if (!m.startLine().contains("from=")) {
                 s.getOutputStream().write(okResponse(hostList(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
@@ -805,7 +809,7 @@
         }));
         closeables.push(TestEndpoints.node(TestEndpoints.config(broken.address(), "127.0.0.1:0"))::stop);
         for (int i = 0; i < 5; i++) {
-            String call = broken.nextRequest().start();
+            String call = broken.nextRequest().startLine();
             assertEquals(i > 0, call.contains("from=7&"), call);
         }
     }
@@ -813,7 +817,7 @@
     private void awaitDiscoveryWatches(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (discovery.server.requests.stream()
-                        .filter(m -> m.start().contains("from="))
+                        .filter(m -> m.startLine().contains("from="))
                         .count()
                 < count) {
             assertTrue(System.nanoTime() < end, "no watch call arrived");
@@ -838,10 +842,10 @@
             Node node = TestEndpoints.node(TestEndpoints.config(
                     discovery.server.address(), nodeAddress, nodeAddress, "127.0.0.1:" + peer.getLocalPort()));
             closeables.push(node::stop);
-            InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            for (DatagramSocket from : List.of(unknownSender, peer)) {
+            InetSocketAddress recipient = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            for (DatagramSocket sender : List.of(unknownSender, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
-                    from.send(new DatagramPacket(new byte[size], size, to));
+                    sender.send(new DatagramPacket(new byte[size], size, recipient));
                 }
             }
             // Several customers, as the node itself is the owner of some of them.
@@ -887,17 +891,17 @@
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
         Node node = nodeWithServers(host);
-        OperatorServer.Commands operations = node.operatorCommands();
-        assertNull(operations.notReadyReason());
+        OperatorServer.Commands commands = node.operatorCommands();
+        assertNull(commands.notReadyReason());
         Client kept = client(node);
         assertEquals(
                 200,
                 kept.send(viewRequest("k", TestEndpoints.TIMEOUT_MS)).receive().status());
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH_REQUEST).receive().status());
-        operations.quiesce();
-        operations.quiesce(); // a second call changes nothing
-        assertEquals("draining", operations.notReadyReason());
+        commands.quiesce();
+        commands.quiesce(); // a second call changes nothing
+        assertEquals("draining", commands.notReadyReason());
         assertEquals(503, client(node).send(HEALTH_REQUEST).receive().status());
         Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals(200, late.status());
@@ -910,21 +914,21 @@
                         .send(viewRequest("m", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .status()); // requests are served throughout the drain
-        operations.resume();
-        operations.resume();
+        commands.resume();
+        commands.resume();
         Client resumed = client(node);
         assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
         assertNull(resumed.send(HEALTH_REQUEST).receive().header("Connection"));
-        operations.quiesce();
-        operations.resume(); // before the first sweep
-        assertNull(operations.notReadyReason());
+        commands.quiesce();
+        commands.resume(); // before the first sweep
+        assertNull(commands.notReadyReason());
         assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
     void metricsCountResultsByClassFromZero() throws Exception {
         Server host = host((m, s) -> {
-            if (m.start().contains("broken")) {
+            if (m.startLine().contains("broken")) {
                 s.close();
             } else {
                 echo(m, s);
--- a/src/test/java/deckfall/net/PeerLinkTest.java
+++ b/src/test/java/deckfall/net/PeerLinkTest.java
@@ -24,7 +24,7 @@
                 discovery.server.address(), "127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
         return TestEndpoints.node(config, act -> new ScriptedModule((now, r) -> {}) {
             @Override
-            public void peerMessageReceived(double now, int from, byte[] data) {
+            public void peerMessageReceived(double now, int sender, byte[] data) {
                 receivedSizes.add(data.length);
             }
         });
@@ -44,10 +44,10 @@
                 DiscoveryServer discovery = new DiscoveryServer(TestEndpoints.hostList(1, true))) {
             Node node = node(discovery, port, peer);
             node.loop.submit(() -> node.peerLink().channel().close()).sync();
-            InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            InetSocketAddress recipient = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             Integer size = null;
             for (int i = 0; i < MAX_SENDS && size == null; i++) { // datagrams to a closed port are lost
-                peer.send(new DatagramPacket(new byte[MESSAGE_BYTES], MESSAGE_BYTES, to));
+                peer.send(new DatagramPacket(new byte[MESSAGE_BYTES], MESSAGE_BYTES, recipient));
                 size = receivedSizes.poll(100, TimeUnit.MILLISECONDS);
             }
             node.stop();
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -190,8 +190,8 @@
             Files.writeString(dir.resolve("config.json"), config(second.server.address()));
             sendSighup();
             Message fullListRequest = second.server.nextRequest();
-            assertEquals("GET /v1/servers HTTP/1.1", fullListRequest.start());
-            assertTrue(second.server.nextRequest().start().contains("from=7&"));
+            assertEquals("GET /v1/servers HTTP/1.1", fullListRequest.startLine());
+            assertTrue(second.server.nextRequest().startLine().contains("from=7&"));
             awaitReady();
         }
     }
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -325,7 +325,7 @@
     }
 
     @Test
-    void connectionIsReusedAfterItsRestTime() throws Exception {
+    void connectionIsReusedAfterTheReuseDelay() throws Exception {
         clock.frozen = true;
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         Server host = closeLater(new Server((m, s) -> {
--- a/src/test/java/deckfall/net/ScriptedModule.java
+++ b/src/test/java/deckfall/net/ScriptedModule.java
@@ -52,10 +52,10 @@
     public void timerFired(double now, String token) {}
 
     @Override
-    public void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] report) {}
+    public void probeEnded(double now, String host, Outcome outcome, double latencyMs, double[] loadMetrics) {}
 
     @Override
-    public void peerMessageReceived(double now, int peer, byte[] data) {}
+    public void peerMessageReceived(double now, int sender, byte[] data) {}
 
     @Override
     public void counterCallEnded(double now, String counter, Outcome outcome, double total) {}
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void restoreCustomers(double now, List<CustomerSnapshot> memory) {}
+    public void restoreCustomers(double now, List<CustomerSnapshot> snapshots) {}
 
     @Override
     public int avoidedHostCount(double now) {
--- a/src/test/java/deckfall/net/SiblingWatchTest.java
+++ b/src/test/java/deckfall/net/SiblingWatchTest.java
@@ -19,7 +19,7 @@
     @TempDir
     private Path folder;
 
-    private final List<SiblingCounts> seen = new ArrayList<>();
+    private final List<SiblingCounts> reportedCounts = new ArrayList<>();
     private boolean failing;
 
     /** A process with the state of one customer, with the times {@code atMs} on its own clock. */
@@ -46,11 +46,11 @@
             }
 
             @Override
-            public void onSiblings(SiblingCounts all) {
+            public void onSiblings(SiblingCounts counts) {
                 if (failing) {
                     throw new IllegalStateException("thrown by the test");
                 }
-                seen.add(all);
+                reportedCounts.add(counts);
             }
 
             @Override
@@ -73,7 +73,7 @@
         failing = false;
         new SiblingFiles(folder, OTHER_PID).write(status(true));
         watch.poll();
-        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), reportedCounts);
     }
 
     /** The status of the other process is still read if the folder is not writable. */
@@ -82,7 +82,7 @@
         new SiblingFiles(folder, OTHER_PID).write(status(true));
         Files.createDirectory(folder.resolve("gateway-2.part"));
         new SiblingWatch(new SiblingFiles(folder, 2), new Clock(), localProcess(0)).poll();
-        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), seen);
+        assertEquals(List.of(new SiblingCounts(1, 1, 5, 6)), reportedCounts);
     }
 
     /**
--- a/src/test/java/deckfall/net/TestEndpoints.java
+++ b/src/test/java/deckfall/net/TestEndpoints.java
@@ -35,9 +35,9 @@
     private TestEndpoints() {}
 
     /** An HTTP message as received from a socket. */
-    record Message(String start, Map<String, String> headers, byte[] body) {
+    record Message(String startLine, Map<String, String> headers, byte[] body) {
         int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String header(String name) {
@@ -194,7 +194,7 @@
         DiscoveryServer(String fullList) throws IOException {
             this.fullList = fullList;
             server = new Server((m, s) -> {
-                String body = m.start().contains("from=") ? updates.take() : this.fullList;
+                String body = m.startLine().contains("from=") ? updates.take() : this.fullList;
                 s.getOutputStream().write(okResponse(body));
             });
         }
