--- a/src/main/java/deckfall/soak/FaultPlan.java
+++ b/src/main/java/deckfall/soak/FaultPlan.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws which system calls of one gateway process fail, when and how, in the format that {@code faults.c} parses. */
+/** Draws the faults of one gateway process: which system calls fail, when and how, in the format of {@code faults.c}. */
 final class FaultPlan {
     private static final int MAX_RULES = 5;
     private static final long HOUR_MS = 3_600_000;
--- a/src/main/resources/deckfall/soak/faults.c
+++ b/src/main/resources/deckfall/soak/faults.c
@@ -1,6 +1,6 @@
 /*
  * Preloaded into a gateway process by the fault soak. Makes system calls fail for short windows of time, in ways that
- * Linux documents. The environment variable FAULTS holds the rules, separated by ';':
+ * Linux documents. The environment variable FAULTS holds the fault plan, entries separated by ';':
  *
  *     CALL,ERRNO,WINDOW_MS,PERIOD_MS,PHASE_MS[,SCOPE]  the call fails during the first WINDOW_MS of each period
  *     clock,STEP_MS,AT_MS                              steps the wall clock once, AT_MS after the start of the process
@@ -26,11 +26,11 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The calls that a rule can name, in the order of CALL_NAMES. */
+/* The calls that a fault can name, in the order of CALL_NAMES. */
 enum { ACCEPT, SOCKET, CONNECT, READ, WRITE, WAIT, DISK, CONFIG, CALLS };
-/* Kinds of descriptors; as the scope of a rule, OTHER means any descriptor. */
+/* Kinds of descriptors; as the scope of a fault, OTHER means any descriptor. */
 enum { OTHER, CLIENT, SERVER, TEMP_FILE };
-enum { MAX_RULES = 32, MAX_FDS = 65536, SHORT = -1 /* not an errno */, SHORT_READ_BYTES = 7 };
+enum { MAX_FAULTS = 32, MAX_FDS = 65536, SHORT = -1 /* not an errno */, SHORT_READ_BYTES = 7 };
 
 static const char *const CALL_NAMES[] = {"accept", "socket", "connect", "read", "write", "wait", "disk", "config"};
 static const struct { const char *name; int value; } ERRORS[] = {
@@ -39,10 +39,10 @@
     {"ETIMEDOUT", ETIMEDOUT}, {"EHOSTUNREACH", EHOSTUNREACH}, {"ENOSPC", ENOSPC}, {"EIO", EIO}, {"EROFS", EROFS},
     {"SHORT", SHORT}};
 
-struct rule { int call, error, scope; long window_ms, period_ms, phase_ms; };
-static struct rule rules[MAX_RULES];
-static int rule_count;
-static struct { long step_ms, at_ms; } clock_steps[MAX_RULES];
+struct fault { int call, error, scope; long window_ms, period_ms, phase_ms; };
+static struct fault faults[MAX_FAULTS];
+static int fault_count;
+static struct { long step_ms, at_ms; } clock_steps[MAX_FAULTS];
 static int clock_step_count;
 static unsigned char fd_kinds[MAX_FDS];
 static long start_ms;
@@ -77,20 +77,20 @@
     return EIO;
 }
 
-static void parse_rule(const char *text) {
+static void parse_entry(const char *text) {
     char call[32], error[32], scope[32] = "";
     long step_ms, at_ms;
-    struct rule r;
-    if (sscanf(text, "clock,%ld,%ld", &step_ms, &at_ms) == 2 && clock_step_count < MAX_RULES) {
+    struct fault fault;
+    if (sscanf(text, "clock,%ld,%ld", &step_ms, &at_ms) == 2 && clock_step_count < MAX_FAULTS) {
         clock_steps[clock_step_count].step_ms = step_ms;
         clock_steps[clock_step_count++].at_ms = at_ms;
-    } else if (sscanf(text, "%31[^,],%31[^,],%ld,%ld,%ld,%31s", call, error, &r.window_ms, &r.period_ms, &r.phase_ms,
-                      scope) >= 5
-               && rule_count < MAX_RULES) {
-        r.call = parse_call(call);
-        r.error = parse_error(error);
-        r.scope = !strcmp(scope, "client") ? CLIENT : !strcmp(scope, "server") ? SERVER : OTHER;
-        rules[rule_count++] = r;
+    } else if (sscanf(text, "%31[^,],%31[^,],%ld,%ld,%ld,%31s", call, error, &fault.window_ms, &fault.period_ms,
+                      &fault.phase_ms, scope) >= 5
+               && fault_count < MAX_FAULTS) {
+        fault.call = parse_call(call);
+        fault.error = parse_error(error);
+        fault.scope = !strcmp(scope, "client") ? CLIENT : !strcmp(scope, "server") ? SERVER : OTHER;
+        faults[fault_count++] = fault;
     }
 }
 
@@ -101,7 +101,7 @@
     const char *plan = getenv("FAULTS");
     char *copy = strdup(plan ? plan : "");
     for (char *rest = copy, *text; (text = strsep(&rest, ";"));) {
-        parse_rule(text);
+        parse_entry(text);
     }
     free(copy);
 }
@@ -118,11 +118,11 @@
 
 /* The error that the call fails with at this moment, SHORT for a short transfer, or 0. */
 static int active_error(int call, int kind) {
-    for (int i = 0; i < rule_count; i++) {
-        const struct rule *r = &rules[i];
-        long offset_ms = (monotonic_ms() - start_ms + r->phase_ms) % r->period_ms;
-        if (r->call == call && offset_ms < r->window_ms && (r->scope == OTHER || r->scope == kind)) {
-            return r->error;
+    for (int i = 0; i < fault_count; i++) {
+        const struct fault *fault = &faults[i];
+        long offset_ms = (monotonic_ms() - start_ms + fault->phase_ms) % fault->period_ms;
+        if (fault->call == call && offset_ms < fault->window_ms && (fault->scope == OTHER || fault->scope == kind)) {
+            return fault->error;
         }
     }
     return 0;
