--- a/src/main/java/deckfall/net/CallTiming.java
+++ b/src/main/java/deckfall/net/CallTiming.java
@@ -20,7 +20,7 @@
  *   and the next one hangs                                 + LONG_TIMEOUT 2000 + delay 800          3600 ms
  * </pre>
  *
- * <p>So a call after a failed one does not hold for news: if it got no response, that would be noticed as late as with
+ * <p>So a call after a failed one does not hold for changes: if it got no response, that would be noticed as late as with
  * a watch.
  */
 final class CallTiming {
@@ -32,7 +32,7 @@
     private static final int FAILURES_PER_ADDRESS_RELOAD = 3; // consecutive failures; the address may be outdated
     // the maximum after a first failure, as a watch counts as broken only after 200 ms
     private static final long INITIAL_BACKOFF_MS = 80;
-    private static final long MAX_BACKOFF_MS = 800; // spreads the return of a fleet that discovery has rejected
+    private static final long MAX_BACKOFF_MS = 800; // spreads the calls of gateways that discovery rejected together
 
     private final Backoff backoff;
     private int consecutiveFailures; // reset by a response
@@ -41,7 +41,7 @@
         backoff = new Backoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, random);
     }
 
-    /** How long the next call may hold for news if there are no missed changes to catch up on. */
+    /** How long the next call may hold for new changes if there are no missed ones to catch up on. */
     long holdMs() {
         return consecutiveFailures == 0 ? HOLD_MS : 0;
     }
@@ -70,7 +70,7 @@
         backoff.reset();
     }
 
-    /** The next call goes to another address, about which the failures say nothing. */
+    /** Resets the backoff, as the next call goes to another address, to which the failures do not apply. */
     void onAddressChange() {
         backoff.reset();
     }
--- a/src/main/java/deckfall/net/ClientServer.java
+++ b/src/main/java/deckfall/net/ClientServer.java
@@ -233,7 +233,10 @@
         }
     }
 
-    /** Closes connections whose clients are too slow, whatever they do. One timer serves all connections. */
+    /**
+     * Closes connections whose clients are too slow, and sheds idle ones above the keep-alive limit. One timer serves
+     * all connections.
+     */
     private void checkConnections() {
         double now = node.clock.now();
         for (ClientConnection c : List.copyOf(connections)) {
--- a/src/main/java/deckfall/net/DispatchRule.java
+++ b/src/main/java/deckfall/net/DispatchRule.java
@@ -1,7 +1,7 @@
 package deckfall.net;
 
 /**
- * Decides whether a request may be sent to a server now, as a first attempt, a retry or a hedged attempt. All checks
+ * Decides whether a request may be sent to a host now, as a first attempt, a retry or a hedged attempt. All checks
  * are made here. They run when an attempt is created and again in the loop iteration that would write its bytes, as the
  * attempt may have waited for a connection in between.
  */
@@ -23,7 +23,7 @@
 
     private DispatchRule() {}
 
-    /** Checks an attempt. {@code attempt} counts from 0; {@code shutDown} is whether the drain's time is up. */
+    /** Checks an attempt. {@code attempt} counts from 0; {@code drainExpired} is whether the drain's time is up. */
     static Verdict check(OpenRequest openRequest, int attempt, double now, int maxAttempts, boolean drainExpired) {
         if (drainExpired) {
             return Verdict.SHUT_DOWN;
--- a/src/main/java/deckfall/net/Drain.java
+++ b/src/main/java/deckfall/net/Drain.java
@@ -27,7 +27,7 @@
     private final Clock clock;
     private final ClientServer clients;
     private volatile boolean active;
-    private boolean sweeping; // used on the event loop only, like everything below
+    private boolean sweeping; // used on the event loop only
 
     Drain(EventLoop loop, Clock clock, ClientServer clients) {
         this.loop = loop;
--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -60,10 +60,10 @@
     private static final double IDLE_LIMIT_FRACTION = 0.6;
     // a close after a shorter idle time says nothing about the host's idle timeout
     private static final double MIN_IDLE_LIMIT_MS = 50;
-    private static final double IDLE_LIMIT_DECREASE_FACTOR =
-            0.8; // of the idle time at which a host closed a connection
+    // of the idle time at which a host closed a connection
+    private static final double IDLE_LIMIT_DECREASE_FACTOR = 0.8;
     private static final double IDLE_LIMIT_GROWTH_FACTOR = 1.02; // per sweep, to recover from a period of early closes
-    // after a write; a reset within this time means that the host had closed the connection before it
+    // after a write began; a reset within this time means that the host had closed the connection before it
     private static final double STALE_CONNECTION_MS = 50;
     // a duplicate of a response may arrive some milliseconds after it
     private static final double REUSE_DELAY_MS = 30;
@@ -114,7 +114,7 @@
         return Math.min(RESERVED_DESCRIPTORS, sockets / RESERVED_DIVISOR);
     }
 
-    /** One request to a host, which ends exactly once; its owner ignores later calls. */
+    /** One request to a host, whose end is reported once; implementations ignore later reports. */
     abstract static class Exchange {
         private Connection connection;
         private boolean started;
@@ -136,8 +136,8 @@
         void beforeWrite() {}
 
         /**
-         * Ends the exchange as {@code FULL} if it still waits for a connection, as its host takes no new requests any
-         * more.
+         * Ends the exchange as {@code FULL} if it still waits for a connection, as its host takes no more new
+         * requests.
          */
         private void rejectIfWaiting() {
             if (connection != null && !started) {
@@ -795,7 +795,7 @@
             try {
                 reading = Math.max(reading, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
             } catch (NumberFormatException e) {
-                // a malformed line beside a valid one is ignored
+                // a malformed header line is ignored
             }
         }
         return reading;
--- a/src/main/java/deckfall/net/ResponseTransfer.java
+++ b/src/main/java/deckfall/net/ResponseTransfer.java
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Flushes what was written, and reads on from the host only while the client takes it. */
+    /** Flushes what was written, and pauses reading from the host while the client's write buffer is full. */
     void flush() {
         if (!finished) {
             client.flush();
--- a/src/main/java/deckfall/net/SiblingFiles.java
+++ b/src/main/java/deckfall/net/SiblingFiles.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /**
- * The status files through which the processes of one gateway know of each other while one replaces another: each
+ * The status files through which the processes of one gateway exchange their state while one replaces another: each
  * process keeps a file in their common folder. Files that are old, damaged or incomplete are skipped, as their writer
  * may have ended.
  */
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -95,7 +95,7 @@
                 (int) siblings.stream().filter(SiblingFiles.Status::serving).count();
         int clients = siblings.stream().mapToInt(SiblingFiles.Status::clients).sum();
         int hosts = siblings.stream().mapToInt(SiblingFiles.Status::hosts).sum();
-        // Before the write, which fails if the disk is full.
+        // Before the write, which fails if the disk is full
         localProcess.onSiblings(new SiblingCounts(siblings.size(), serving, clients, hosts));
         boolean acceptsClients = localProcess.acceptsClients();
         boolean snapshotRequested = acceptsClients && serving < siblings.size(); // by a sibling that is starting
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -77,7 +77,7 @@
      *
      * <p>The warm-up has a port of its own. At the gateway's port a client could connect, whose request would be lost
      * when the warm-up ends, and if the listener is shared, another process may answer. A gateway with clients waiting
-     * skips the warm-up: each second of it costs more requests than the slower code does.
+     * skips the warm-up, as each second of it would cost more requests than slower code does.
      */
     static int warmUp(NodeConfig config, boolean clientsWaiting) {
         return clientsWaiting ? 0 : warmUp(config);
@@ -121,7 +121,7 @@
         return answered;
     }
 
-    /** The request number {@code i}: classes and plans take turns, and some customers exceed their quota. */
+    /** Builds request number {@code i}. The numbers cycle through classes, plans and customers, and some exceed quotas. */
     private static String request(Settings settings, int i) {
         RequestClass requestClass =
                 settings.classes().get(i % settings.classes().size());
--- a/src/test/java/deckfall/net/DispatchRuleTest.java
+++ b/src/test/java/deckfall/net/DispatchRuleTest.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** Tests when a request may be sent to a server. */
+/** Tests when a request may be sent to a host. */
 class DispatchRuleTest {
     private static final double DEADLINE_MS = 1000;
     private static final int MAX_ATTEMPTS = 3;
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -366,7 +366,7 @@
             Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
-            clock.offsetMs += 45; // the connection has rested, and would be reused
+            clock.offsetMs += 45; // the reuse delay has passed
             assertEquals("for two", c.send(orderRequest("two", "b")).receive().text());
         }
     }
