--- a/src/main/java/deckfall/soak/FaultPlan.java
+++ b/src/main/java/deckfall/soak/FaultPlan.java
@@ -6,7 +6,7 @@
 
 /** Draws the faults of one gateway process: which system calls fail, when and how, in the format of {@code faults.c}. */
 final class FaultPlan {
-    private static final int MAX_RULES = 5;
+    private static final int MAX_FAULTS = 5;
     private static final long HOUR_MS = 3_600_000;
     private static final long SMALL_CLOCK_STEP_MS = 5000;
     private static final long MAX_CLOCK_STEP_DELAY_MS = 20_000; // after the start of the process
@@ -38,23 +38,23 @@
 
     /** Draws a plan, which may be empty. */
     static String draw(Random random) {
-        List<String> rules = new ArrayList<>();
-        int ruleCount = random.nextInt(MAX_RULES + 1);
-        for (int i = 0; i < ruleCount; i++) {
-            rules.add(drawRule(FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size())), random));
+        List<String> entries = new ArrayList<>();
+        int faultCount = random.nextInt(MAX_FAULTS + 1);
+        for (int i = 0; i < faultCount; i++) {
+            entries.add(drawFault(FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size())), random));
         }
         if (random.nextInt(3) == 0) {
             long stepMs = (random.nextBoolean() ? 1 : -1) * (random.nextBoolean() ? HOUR_MS : SMALL_CLOCK_STEP_MS);
-            rules.add("clock," + stepMs + "," + random.nextInt((int) MAX_CLOCK_STEP_DELAY_MS));
+            entries.add("clock," + stepMs + "," + random.nextInt((int) MAX_CLOCK_STEP_DELAY_MS));
         }
-        return String.join(";", rules);
+        return String.join(";", entries);
     }
 
-    private static String drawRule(FaultKind kind, Random random) {
+    private static String drawFault(FaultKind kind, Random random) {
         int windowMs = kind.minWindowMs + random.nextInt(kind.maxWindowMs - kind.minWindowMs + 1);
         int periodMs = kind.minPauseMs + windowMs + random.nextInt(2 * kind.minPauseMs);
         String error = kind.errors.get(random.nextInt(kind.errors.size()));
-        String rule = kind.call + "," + error + "," + windowMs + "," + periodMs + "," + random.nextInt(periodMs);
-        return kind.scope.isEmpty() ? rule : rule + "," + kind.scope;
+        String fault = kind.call + "," + error + "," + windowMs + "," + periodMs + "," + random.nextInt(periodMs);
+        return kind.scope.isEmpty() ? fault : fault + "," + kind.scope;
     }
 }
