--- a/src/main/java/deckfall/soak/SoakRun.java
+++ b/src/main/java/deckfall/soak/SoakRun.java
@@ -27,8 +27,8 @@
     private static final double SERVER_FAULT_SHARE = 0.11; // of the requests, which don't get a plain response
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long KILL_AFTER_DEADLINE_MS = 700; // from SIGTERM, beyond the longest deadline
-    private static final int MIN_BALANCER_DELAY_MS = 200; // from SIGTERM until new connections avoid the gateway
-    private static final int MAX_BALANCER_DELAY_MS = 400;
+    private static final int MIN_LOAD_BALANCER_DELAY_MS = 200; // from SIGTERM until new connections avoid the gateway
+    private static final int MAX_LOAD_BALANCER_DELAY_MS = 400;
     private static final long POLL_INTERVAL_MS = 30;
     private static final long WATCH_INTERVAL_MS = 100;
     private static final long LAG_PROBE_INTERVAL_MS = 10;
@@ -270,7 +270,8 @@
             throws IOException, InterruptedException {
         GatewayProcess process = newestProcess(gateway);
         double signalledAtMs = terminate(process, scriptRandom);
-        pause(MIN_BALANCER_DELAY_MS + scriptRandom.nextInt(MAX_BALANCER_DELAY_MS - MIN_BALANCER_DELAY_MS));
+        pause(MIN_LOAD_BALANCER_DELAY_MS
+                + scriptRandom.nextInt(MAX_LOAD_BALANCER_DELAY_MS - MIN_LOAD_BALANCER_DELAY_MS));
         loadGenerator.allowNewConnections(false);
         awaitEndOrKill(process, signalledAtMs);
         startAndResumeConnections(gateway, loadGenerator, scriptRandom);
