--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -413,9 +413,9 @@
      * An upper bound on the connections of this process and its siblings together. Since this process last published
      * its own number, each sibling may have opened as many more as this process has.
      */
-    int totalAcrossProcesses(int own, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
-        int grown = Math.max(0, own - connections.applyAsInt(lastPublished));
-        return own + connections.applyAsInt(siblings) + grown * siblings.processes();
+    int totalAcrossProcesses(int ownConnections, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
+        int growth = Math.max(0, ownConnections - connections.applyAsInt(lastPublished));
+        return ownConnections + connections.applyAsInt(siblings) + growth * siblings.processes();
     }
 
     /**
@@ -849,9 +849,9 @@
         log("ending: no new clients, " + metrics.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
-            boolean all = awaitDrained(SHUTDOWN_TIMEOUT_MS);
+            boolean allAnswered = awaitDrained(SHUTDOWN_TIMEOUT_MS);
             loop.submit(this::logTally).await(FINAL_TALLY_TIMEOUT_MS);
-            log("ended, " + (all ? "all answered" : metrics.openRequests() + " requests still open"));
+            log("ended, " + (allAnswered ? "all answered" : metrics.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -872,9 +872,9 @@
             return;
         }
         drain.begin();
-        double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
+        double acceptDeadlineMs = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
-                () -> stopAccepting(latest),
+                () -> stopAccepting(acceptDeadlineMs),
                 Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS); // after the drain's first sweep, which is due at the same time
         loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
@@ -912,12 +912,12 @@
      * clients send at once on new connections. Closing it while connections wait in its queue would reset them. If
      * another process serves on the same listener, the queue may be left to that process.
      */
-    private void stopAccepting(double latest) {
+    private void stopAccepting(double acceptDeadlineMs) {
         boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
         boolean allAccepted = servedBySibling || clientServer.acceptQueued();
         boolean recentlyActive = !servedBySibling && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
-        if ((recentlyActive || !allAccepted) && clock.now() < latest) {
-            loop.schedule(() -> stopAccepting(latest), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        if ((recentlyActive || !allAccepted) && clock.now() < acceptDeadlineMs) {
+            loop.schedule(() -> stopAccepting(acceptDeadlineMs), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         clientServer.stopAccepting();
--- a/src/main/java/deckfall/net/NodeConfig.java
+++ b/src/main/java/deckfall/net/NodeConfig.java
@@ -96,8 +96,8 @@
         try {
             return Files.readAllBytes(Path.of(file));
         } catch (IOException e) {
-            boolean lasting = e instanceof NoSuchFileException || e instanceof AccessDeniedException;
-            throw new InvalidConfigException("can't read " + file + ": " + e.getMessage(), !lasting);
+            boolean permanent = e instanceof NoSuchFileException || e instanceof AccessDeniedException;
+            throw new InvalidConfigException("can't read " + file + ": " + e.getMessage(), !permanent);
         }
     }
 
--- a/src/main/java/deckfall/net/StaleListFilter.java
+++ b/src/main/java/deckfall/net/StaleListFilter.java
@@ -26,7 +26,7 @@
     List<Entry> filter(long version, boolean full, List<Entry> entries) {
         boolean older = version < newestVersion;
         if (full && !older) { // a host that a full list does not name is gone
-            latestStartMs.forEach((id, started) -> tombstones.put(id, new Tombstone(HostState.GONE, started)));
+            latestStartMs.forEach((id, startedMs) -> tombstones.put(id, new Tombstone(HostState.GONE, startedMs)));
         }
         newestVersion = Math.max(newestVersion, version);
         List<Entry> filtered = new ArrayList<>(entries.size());
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -63,11 +63,11 @@
      */
     private static void exchangeSiblingFiles() throws IOException {
         Path folder = Files.createTempDirectory("rehearsal");
-        SiblingFiles one = new SiblingFiles(folder, 1);
+        SiblingFiles firstProcessFiles = new SiblingFiles(folder, 1);
         CustomerSnapshot customer = new CustomerSnapshot(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-        one.write(new SiblingFiles.Status(1, 0, true, 0, 0, List.of(customer)));
+        firstProcessFiles.write(new SiblingFiles.Status(1, 0, true, 0, 0, List.of(customer)));
         new SiblingFiles(folder, 2).presentSiblings(0);
-        one.remove();
+        firstProcessFiles.remove();
         Files.delete(folder);
     }
 
@@ -122,19 +122,19 @@
     }
 
     /** Builds request number {@code i}. The numbers cycle through classes, plans and customers, and some exceed quotas. */
-    private static String request(Settings settings, int i) {
+    private static String request(Settings settings, int number) {
         RequestClass requestClass =
-                settings.classes().get(i % settings.classes().size());
+                settings.classes().get(number % settings.classes().size());
         boolean repeatable = requestClass.effect() == Effect.REPEATABLE;
         String body = repeatable ? "" : BODY;
         return REQUEST_TEMPLATE.formatted(
                 repeatable ? "GET" : "POST",
                 requestClass.name(),
-                i,
-                i,
-                planName(settings, i / 2),
-                i % 64,
-                1 + i % settings.gatewayCount(),
+                number,
+                number,
+                planName(settings, number / 2),
+                number % 64,
+                1 + number % settings.gatewayCount(),
                 body.length(),
                 body);
     }
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -139,23 +139,23 @@
     /** As from a discovery agent that lags behind: a drain or removal stays in force until the host restarts. */
     @Test
     void olderListDoesNotRevertADrain() throws Exception {
-        Server drains = closeLater(new Server(DiscoveryTest::answerOk));
-        Server gone = closeLater(new Server(DiscoveryTest::answerOk));
-        Server ready = closeLater(new Server(DiscoveryTest::answerOk));
+        Server drainingHost = closeLater(new Server(DiscoveryTest::answerOk));
+        Server goneHost = closeLater(new Server(DiscoveryTest::answerOk));
+        Server readyHost = closeLater(new Server(DiscoveryTest::answerOk));
         Server discovery = discovery();
         String[] old = {
-            hostEntry("a", drains.address(), "ready"),
-            hostEntry("b", gone.address(), "ready"),
-            hostEntry("c", ready.address(), "ready")
+            hostEntry("a", drainingHost.address(), "ready"),
+            hostEntry("b", goneHost.address(), "ready"),
+            hostEntry("c", readyHost.address(), "ready")
         };
         responses.add(hostList(
                 9,
                 false,
-                hostEntry("a", drains.address(), DRAINING),
-                hostEntry("b", gone.address(), "gone"),
-                hostEntry("d", gone.address(), "ready")));
-        responses.add(hostList(10, true, old[2], hostEntry("a", drains.address(), DRAINING)));
-        responses.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", gone.address(), "ready")));
+                hostEntry("a", drainingHost.address(), DRAINING),
+                hostEntry("b", goneHost.address(), "gone"),
+                hostEntry("d", goneHost.address(), "ready")));
+        responses.add(hostList(10, true, old[2], hostEntry("a", drainingHost.address(), DRAINING)));
+        responses.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", goneHost.address(), "ready")));
         responses.add(hostList(8, false));
         Node node = node(discovery, hostList(7, true, old));
         for (int i = 0; i < 5; i++) {
@@ -166,7 +166,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(200, status(node, "v" + i));
         }
-        assertEquals(0, drains.requests.size() + gone.requests.size());
+        assertEquals(0, drainingHost.requests.size() + goneHost.requests.size());
     }
 
     @Test
