--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -121,7 +121,7 @@
         return answered;
     }
 
-    /** Builds request number {@code i}. The numbers cycle through classes, plans and customers, and some exceed quotas. */
+    /** Builds a request. The numbers cycle through classes, plans and customers, and some exceed quotas. */
     private static String request(Settings settings, int number) {
         RequestClass requestClass =
                 settings.classes().get(number % settings.classes().size());
