--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -120,7 +120,7 @@
         s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
-    private Node nodeWithHosts(String... entries) throws IOException {
+    private Node nodeWithHostEntries(String... entries) throws IOException {
         discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0"));
         closeables.push(node::stop);
@@ -152,7 +152,7 @@
      */
     @Test
     void clientReconnectsAfterADrainClosedItsIdleConnection() throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         Client idle = client(node);
         assertEquals(
                 200,
@@ -200,12 +200,12 @@
         assertNotNull(moved.server.nextRequest(), "no call to the address of the replaced configuration");
     }
 
-    private Node nodeWithServers(Server... hosts) throws IOException {
+    private Node nodeWithHosts(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = hostEntry("h" + i, hosts[i].address(), "ready");
         }
-        return nodeWithHosts(entries);
+        return nodeWithHostEntries(entries);
     }
 
     private Client client(Node node) throws IOException {
@@ -222,7 +222,7 @@
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         Message response = c.send(orderRequest("id-1", "two copies")).receive();
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
@@ -241,8 +241,8 @@
     @Test
     void hostThatRefusesConnectionsCostsNoRequest() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node =
-                nodeWithHosts(hostEntry("dead", REFUSING_ADDRESS, "ready"), hostEntry("live", host.address(), "ready"));
+        Node node = nodeWithHostEntries(
+                hostEntry("dead", REFUSING_ADDRESS, "ready"), hostEntry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
@@ -255,7 +255,7 @@
     @Test
     void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
-        int status = client(nodeWithServers(host))
+        int status = client(nodeWithHosts(host))
                 .send(orderRequest("o", "b"))
                 .receive()
                 .status();
@@ -268,7 +268,7 @@
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Message response =
-                client(nodeWithServers(host)).send(orderRequest("o", "b")).receive();
+                client(nodeWithHosts(host)).send(orderRequest("o", "b")).receive();
         assertEquals(429, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
     }
@@ -276,7 +276,7 @@
     @Test
     void requestBeyondQuotaIsRefusedWithRetryAfter() throws Exception {
         Server host = host(NodeTest::echo);
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message response = c.send(tiny).receive();
@@ -298,7 +298,7 @@
         });
         assertEquals(
                 "for v ",
-                client(nodeWithServers(host))
+                client(nodeWithHosts(host))
                         .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
@@ -317,7 +317,7 @@
                                     ? okResponse("for " + m.header("X-Trace-Id"))
                                     : bytes("HTTP/1.1 200 OK\r\n" + line + "\r\nContent-Length: 4\r\n\r\nfake"));
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         assertEquals(502, c.send(orderRequest("o", "b")).receive().status()); // each of its three attempts may have run
         assertEquals(
                 "for v",
@@ -344,7 +344,7 @@
             }
             s.getOutputStream().write(all.toByteArray());
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(client(node).send(orderRequest("o" + i, "b")));
@@ -374,7 +374,7 @@
             answeredAt.put(s, System.nanoTime());
             echo(m, s);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
@@ -392,7 +392,7 @@
     @Test
     void attemptIsCancelledWhenItsClientLeaves() throws Exception {
         Server host = host((m, s) -> {});
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         c.close();
@@ -409,7 +409,7 @@
             }
             echo(m, s);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         assertNotEquals(200, c.send(viewRequest("slow", 300)).receive().status());
         timeIsUp.countDown();
         for (int i = 0; i < 5; i++) {
@@ -424,7 +424,7 @@
     @Test
     void badRequestsAreRejectedAndReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String good = viewRequest("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
@@ -464,7 +464,7 @@
     @Test
     void requestsOfAmbiguousLengthReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String headStart = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
         for (String length : List.of(
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
@@ -482,7 +482,7 @@
     @Test
     void allRequestFormsAreForwarded() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String headStart = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
         Client c = client(node);
         String chunks = headStart
@@ -533,7 +533,7 @@
             firstRead.await();
             s.getOutputStream().write(body, first, body.length - first);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client c = client(node).send(viewRequest("v", 5000));
         java.io.InputStream in = c.socket.getInputStream();
         ByteArrayOutputStream received = new ByteArrayOutputStream();
@@ -566,7 +566,7 @@
                 s.setSoLinger(requestIndex == 1, 0);
                 s.close();
             });
-            Client c = client(nodeWithServers(host))
+            Client c = client(nodeWithHosts(host))
                     .send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
             String received =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
@@ -588,7 +588,7 @@
                 s.getOutputStream().write(pattern(0x20000));
                 s.close();
             });
-            Node node = nodeWithServers(host);
+            Node node = nodeWithHosts(host);
             Client c = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
             assertThrows(IOException.class, () -> c.socket.getInputStream().readAllBytes(), length); // a reset
             assertEquals(1, host.requests.size());
@@ -621,7 +621,7 @@
         });
         raw.setDaemon(true);
         raw.start();
-        Node node = nodeWithHosts(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
+        Node node = nodeWithHostEntries(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
         String head = orderRequest("o", "").replace("Length: 0", "Length: " + body.length);
         Client c = client(node).send(head);
         c.socket.getOutputStream().write(body, 0, 1_000_000);
@@ -638,7 +638,7 @@
      */
     @Test
     void clientWithoutACompleteRequestTimesOut() throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         Client servedClient = client(node);
         assertEquals(
                 200,
@@ -707,7 +707,7 @@
      */
     @Test
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
         SiblingFiles.Status siblingStatus =
                 new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
@@ -725,7 +725,7 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        Client c = client(nodeWithServers(host(NodeTest::echo)));
+        Client c = client(nodeWithHosts(host(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(viewRequest("p" + i, TestEndpoints.TIMEOUT_MS));
@@ -745,7 +745,7 @@
             both.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client a = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         Client b = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         assertEquals("for same ", a.receive().text());
@@ -756,7 +756,7 @@
     void drainingHostGetsNoNewRequestsAndAMovedHostIsFollowed() throws Exception {
         Server old = host(NodeTest::echo);
         Server movedTo = host(NodeTest::echo);
-        Node node = nodeWithServers(old);
+        Node node = nodeWithHosts(old);
         Client c = client(node);
         assertEquals(
                 200,
@@ -781,7 +781,7 @@
     void fullListRemovesTheHostsThatItDoesNotName() throws Exception {
         Server old = host(NodeTest::echo);
         Server fresh = host(NodeTest::echo);
-        Node node = nodeWithServers(old);
+        Node node = nodeWithHosts(old);
         awaitDiscoveryWatches(1);
         discovery.updates.add(hostList(9, true, hostEntry("h1", fresh.address(), "ready")));
         awaitDiscoveryWatches(2);
@@ -869,7 +869,7 @@
             draining.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client busy = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client idle = client(node);
         assertNotNull(host.nextRequest());
@@ -890,7 +890,7 @@
     @Test
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         OperatorServer.Commands commands = node.operatorCommands();
         assertNull(commands.notReadyReason());
         Client kept = client(node);
@@ -934,8 +934,8 @@
                 echo(m, s);
             }
         });
-        Node node =
-                nodeWithHosts(hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
+        Node node = nodeWithHostEntries(
+                hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
         assertEquals(0, metric(node, "success_total{type=\"order\"}"));
         Client c = client(node);
         assertEquals(
@@ -978,7 +978,7 @@
     @Test
     void drainEndsRequestsThatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client c = client(node).send(orderRequest("o", "b"));
         assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
