--- a/src/test/java/deckfall/net/AcceptRetryTest.java
+++ b/src/test/java/deckfall/net/AcceptRetryTest.java
@@ -78,7 +78,7 @@
                     .sync()
                     .channel();
             InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-            boolean all = group.next()
+            boolean allAccepted = group.next()
                     .submit(() -> {
                         for (int i = 0; i < count; i++) {
                             clients.add(new Socket(address.getAddress(), address.getPort()));
@@ -87,7 +87,7 @@
                     })
                     .sync()
                     .getNow();
-            assertTrue(all);
+            assertTrue(allAccepted);
             assertEquals(count, accepted.get());
         } finally {
             for (Socket s : clients) {
--- a/src/test/java/deckfall/net/CallTimingTest.java
+++ b/src/test/java/deckfall/net/CallTimingTest.java
@@ -36,13 +36,13 @@
      * The time from the end of an outage until the change arrives. Each call that starts during the outage fails, and
      * so does one further call after it.
      */
-    private static long changeArrivesAfterMs(long outageMs, Failure outage, Failure further, long seed) {
+    private static long changeArrivesAfterMs(long outageMs, Failure outageFailure, Failure furtherFailure, long seed) {
         CallTiming timing = new CallTiming(new Random(seed));
         timing.onSuccess(); // the watch is open when the outage begins
         long now = 0;
-        for (boolean over = false; !over; ) {
-            over = now >= outageMs;
-            now += failsAfterMs(over ? further : outage, timing);
+        for (boolean outageOver = false; !outageOver; ) {
+            outageOver = now >= outageMs;
+            now += failsAfterMs(outageOver ? furtherFailure : outageFailure, timing);
             now += timing.delayAfterFailureMs();
         }
         return now + SUCCESSFUL_CALL_MS - outageMs;
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -40,7 +40,7 @@
         return closeable;
     }
 
-    private static void answerOk(Message m, Socket s) throws IOException {
+    private static void respondOk(Message m, Socket s) throws IOException {
         s.getOutputStream().write(okResponse(m.header("X-Trace-Id")));
     }
 
@@ -78,8 +78,8 @@
     /** If many gateways started at once with full lists, their calls would queue up and changes would arrive late. */
     @Test
     void startupRequestsChangesSinceTheKnownList() throws Exception {
-        Server old = closeLater(new Server(DiscoveryTest::answerOk));
-        Server fresh = closeLater(new Server(DiscoveryTest::answerOk));
+        Server old = closeLater(new Server(DiscoveryTest::respondOk));
+        Server fresh = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(
                 hostList(9, false, hostEntry("a", old.address(), DRAINING), hostEntry("b", fresh.address(), "ready")));
@@ -102,7 +102,7 @@
     /** As if discovery had lost its state: changes since its own version numbers do not apply to the known list. */
     @Test
     void changesOfAnOlderVersionLeadToAFullList() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(hostList(2, false, hostEntry("a", host.address(), "gone")));
         responses.add(hostList(2, true, hostEntry("a", host.address(), "ready")));
@@ -115,7 +115,7 @@
 
     @Test
     void malformedListIsIgnored() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add("{\"servers\":[" + hostEntry("a", host.address(), DRAINING) + "]}");
         responses.add(
@@ -139,9 +139,9 @@
     /** As from a discovery agent that lags behind: a drain or removal stays in force until the host restarts. */
     @Test
     void olderListDoesNotRevertADrain() throws Exception {
-        Server drainingHost = closeLater(new Server(DiscoveryTest::answerOk));
-        Server goneHost = closeLater(new Server(DiscoveryTest::answerOk));
-        Server readyHost = closeLater(new Server(DiscoveryTest::answerOk));
+        Server drainingHost = closeLater(new Server(DiscoveryTest::respondOk));
+        Server goneHost = closeLater(new Server(DiscoveryTest::respondOk));
+        Server readyHost = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         String[] old = {
             hostEntry("a", drainingHost.address(), "ready"),
@@ -171,7 +171,7 @@
 
     @Test
     void olderListStillReportsARestartedHost() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(hostList(9, true, hostEntry("a", host.address(), DRAINING)));
         responses.add(hostList(
@@ -217,7 +217,7 @@
 
     @Test
     void indentedListReceivedByteByByteIsParsed() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         ObjectMapper json = new ObjectMapper();
         String list = json.readTree(hostList(9, false, hostEntry("a", host.address(), "ready")))
                 .toPrettyString();
--- a/src/test/java/deckfall/net/EventLoopLagTest.java
+++ b/src/test/java/deckfall/net/EventLoopLagTest.java
@@ -15,16 +15,16 @@
         nanos += ms * 1_000_000;
     }
 
-    private void iteration(boolean tasks) throws Exception {
+    private void startIteration(boolean tasks) throws Exception {
         lag.calculateStrategy(() -> 1, tasks);
     }
 
     @Test
     void bytesReadAfterBlockingHaveNotWaited() throws Exception {
-        iteration(!TASKS);
+        startIteration(!TASKS);
         advance(500);
         assertEquals(0, lag.observeDelayMs());
-        iteration(!TASKS);
+        startIteration(!TASKS);
         advance(800);
         assertEquals(0, lag.observeDelayMs());
     }
@@ -34,11 +34,11 @@
      */
     @Test
     void bytesMayHaveWaitedForAWholeLongIteration() throws Exception {
-        iteration(!TASKS);
+        startIteration(!TASKS);
         advance(500);
         lag.observeDelayMs();
         advance(200); // while handling the I/O
-        iteration(!TASKS); // finds I/O without blocking
+        startIteration(!TASKS); // finds I/O without blocking
         assertEquals(200, lag.observeDelayMs());
         advance(30);
         assertEquals(230, lag.observeDelayMs());
@@ -46,13 +46,13 @@
 
     @Test
     void iterationOfTasksAloneCountsAsLag() throws Exception {
-        iteration(TASKS);
+        startIteration(TASKS);
         advance(150);
-        iteration(TASKS);
+        startIteration(TASKS);
         assertEquals(150, lag.observeDelayMs());
-        iteration(!TASKS);
+        startIteration(!TASKS);
         advance(300); // blocked, or only ran what was due
-        iteration(!TASKS);
+        startIteration(!TASKS);
         assertEquals(0, lag.observeDelayMs());
     }
 }
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -362,16 +362,16 @@
     @Test
     void connectionIdleAsLongAsAResetOneIsNotReused() throws Exception {
         List<Long> idleNanos = new CopyOnWriteArrayList<>(); // idle time before each request that was reset
-        Map<java.net.Socket, Long> answeredAt = new ConcurrentHashMap<>();
+        Map<java.net.Socket, Long> respondedAtNanos = new ConcurrentHashMap<>();
         Server host = host((m, s) -> {
-            long idle = System.nanoTime() - answeredAt.getOrDefault(s, System.nanoTime());
+            long idle = System.nanoTime() - respondedAtNanos.getOrDefault(s, System.nanoTime());
             if (idle > TimeUnit.MILLISECONDS.toNanos(200)) {
                 idleNanos.add(idle);
                 s.setSoLinger(true, 0);
                 s.close();
                 return;
             }
-            answeredAt.put(s, System.nanoTime());
+            respondedAtNanos.put(s, System.nanoTime());
             echo(m, s);
         });
         Client c = client(nodeWithHosts(host));
@@ -402,16 +402,16 @@
     /** A response after the deadline must reach neither that client nor the next request. */
     @Test
     void lateResponseReachesNoOtherRequest() throws Exception {
-        CountDownLatch timeIsUp = new CountDownLatch(1);
+        CountDownLatch deadlinePassed = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
-                timeIsUp.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                deadlinePassed.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         Client c = client(nodeWithHosts(host));
         assertNotEquals(200, c.send(viewRequest("slow", 300)).receive().status());
-        timeIsUp.countDown();
+        deadlinePassed.countDown();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
@@ -1025,7 +1025,7 @@
     }
 
     /** The result of a counter call, as the module receives it. */
-    private record CounterResult(String name, Outcome outcome, double total) {}
+    private record CounterResult(String counter, Outcome outcome, double total) {}
 
     /**
      * Replies arrive in the order of the calls. A reply without a number ends the connection, and calls continue on a
@@ -1035,13 +1035,13 @@
     void counterRepliesReachTheModule() throws Exception {
         java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
         java.util.concurrent.BlockingQueue<CounterResult> results = new java.util.concurrent.LinkedBlockingQueue<>();
-        Actions[] acts = new Actions[1];
+        Actions[] moduleActions = new Actions[1];
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
         String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"name\"", "\"counter\": \"127.0.0.1:" + counter.getLocalPort() + "\", \"name\"")
                 .replace("\"max_units\"", "\"counter\": true, \"counter_timeout_ms\": 60000, \"max_units\"");
         Node node = TestEndpoints.node(config, actions -> {
-            acts[0] = actions;
+            moduleActions[0] = actions;
             return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
@@ -1054,16 +1054,20 @@
             java.net.Socket s = closeLater(counter.accept());
             CounterResult refused;
             do { // until the node is connected, as a call that can't be written fails at once
-                node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
+                node.loop
+                        .submit(() -> moduleActions[0].addToCounter("u1", 2.5, 4000))
+                        .sync();
                 refused = results.poll();
             } while (refused != null);
-            node.loop.submit(() -> acts[0].addToCounter("u2", -1, 4000)).sync();
+            node.loop
+                    .submit(() -> moduleActions[0].addToCounter("u2", -1, 4000))
+                    .sync();
             String call = "*4\r\n$6\r\nADDGET\r\n$2\r\nu1\r\n$3\r\n2.5\r\n$4\r\n4000\r\n";
             assertEquals(
                     call,
                     new String(
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
-            node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
+            node.loop.submit(() -> moduleActions[0].addToCounter("u3", 1, 4000)).sync();
             s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + notANumber + "\r\n"));
             assertEquals(
                     new CounterResult("u1", Outcome.OK, 7.5),
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -91,8 +91,8 @@
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(TestEndpoints.TIMEOUT_MS);
             s.getOutputStream().write(TestEndpoints.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = TestEndpoints.readMessage(s.getInputStream());
-            return answer != null && answer.status() == 200;
+            Message response = TestEndpoints.readMessage(s.getInputStream());
+            return response != null && response.status() == 200;
         } catch (IOException e) {
             return false;
         }
@@ -215,10 +215,10 @@
         }
     }
 
-    private void awaitOpen(int atPort) throws Exception {
+    private void awaitOpen(int targetPort) throws Exception {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (true) {
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), atPort)) {
+            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), targetPort)) {
                 return;
             } catch (IOException e) {
                 assertTrue(process.isAlive() && System.nanoTime() < end, "not open");
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -53,7 +53,7 @@
     private final BlockingQueue<Request> handledRequests = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     // Ids of requests whose client has left, added after the module has acted on that
-    private final BlockingQueue<String> clientsGone = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnectedClients = new LinkedBlockingQueue<>();
     private final ManualClock clock = new ManualClock();
     private DiscoveryServer discovery;
 
@@ -111,7 +111,7 @@
     }
 
     /** The real module, with some of its events recorded after it has acted on them. */
-    private Events recorded(Actions actions) {
+    private Events recordingModule(Actions actions) {
         DecisionModule module = new DecisionModule(actions);
         return (Events) Proxy.newProxyInstance(
                 Events.class.getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
@@ -119,7 +119,7 @@
                     switch (method.getName()) {
                         case "requestReceived" -> handledRequests.add((Request) args[1]);
                         case "attemptEnded" -> results.add((AttemptResult) args[1]);
-                        case "clientDisconnected" -> clientsGone.add((String) args[1]);
+                        case "clientDisconnected" -> disconnectedClients.add((String) args[1]);
                         default -> {}
                     }
                     return result;
@@ -135,7 +135,7 @@
         for (String state : new String[] {"draining", "gone"}) {
             UnreachableServer unreachable = closeLater(new UnreachableServer());
             Server other = closeLater(new Server(RaceConditionTest::echo));
-            Node node = node(this::recorded, c -> c, hostEntry("h0", unreachable.address(), "ready"));
+            Node node = node(this::recordingModule, c -> c, hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o", "b"));
             assertEquals("o", next(handledRequests).id());
             discovery.updates.add(hostList(
@@ -172,13 +172,13 @@
         for (String cancel : new String[] {"true", "false"}) {
             UnreachableServer unreachable = closeLater(new UnreachableServer());
             Node node = node(
-                    this::recorded,
+                    this::recordingModule,
                     c -> c.replace("\"cancel\": true", "\"cancel\": " + cancel),
                     hostEntry("h0", unreachable.address(), "ready"));
             Client c = client(node).send(orderRequest("o" + cancel, "b"));
             next(handledRequests);
             c.close();
-            assertEquals("o" + cancel, next(clientsGone));
+            assertEquals("o" + cancel, next(disconnectedClients));
             assertEquals(Outcome.MOOT, resultOf("o" + cancel));
             client(node).send(orderRequest("p", "b"));
             next(handledRequests);
@@ -271,7 +271,7 @@
             release.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         }));
-        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < MAX_REQUESTS_PER_HOST; i++) {
             clients.add(client(node).send(orderRequest("o" + i, "b")));
@@ -280,7 +280,7 @@
         Client gone = client(node).send(orderRequest("gone", "b"));
         next(handledRequests);
         gone.close();
-        assertEquals("gone", next(clientsGone));
+        assertEquals("gone", next(disconnectedClients));
         release.countDown();
         // Queued behind the one whose client left
         clients.add(client(node).send(orderRequest("o" + MAX_REQUESTS_PER_HOST, "b")));
@@ -296,8 +296,10 @@
     @Test
     void requestWhoseHostNeverConnectedIsRefusedAtItsDeadline() throws Exception {
         UnreachableServer unreachable = closeLater(new UnreachableServer());
-        Node node =
-                node(this::recorded, c -> c.replace("by_key", "once"), hostEntry("h0", unreachable.address(), "ready"));
+        Node node = node(
+                this::recordingModule,
+                c -> c.replace("by_key", "once"),
+                hostEntry("h0", unreachable.address(), "ready"));
         String shortDeadline =
                 orderRequest("o", "b").replace("X-Expires-In-Ms: " + TestEndpoints.TIMEOUT_MS, "X-Expires-In-Ms: 300");
         assertEquals(429, client(node).send(shortDeadline).receive().status());
@@ -317,7 +319,7 @@
             first.get().getOutputStream().write(okResponse("for one"));
             echo(m, s);
         }));
-        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         clock.offsetMs = 25; // duplicates have been seen this long after the first response
@@ -332,7 +334,7 @@
             used.add(s);
             echo(m, s);
         }));
-        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         for (int i = 0; i < 3; i++) {
             assertEquals(
@@ -363,7 +365,7 @@
                 writeIfOpen(first.get(), "Content-Length: 4\r\n\r\nfake");
                 echo(m, s);
             }));
-            Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+            Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
             Client c = client(node);
             assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
             clock.offsetMs += 45; // the reuse delay has passed
@@ -384,7 +386,7 @@
     void laterRequestThatStopsAfterAWholeLineTimesOut() throws Exception {
         clock.frozen = true;
         Server host = closeLater(new Server(RaceConditionTest::echo));
-        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
         Client c = client(node);
         assertEquals("for one", c.send(orderRequest("one", "b")).receive().text());
         c.send("\r\nGET /view/x HTTP/1.1\r\n");
@@ -406,7 +408,7 @@
     void firstRequestTimesOutFromTheConnectOn() throws Exception {
         clock.frozen = true;
         Server host = closeLater(new Server(RaceConditionTest::echo));
-        Node node = node(this::recorded, c -> c, hostEntry("h0", host.address(), "ready"));
+        Node node = node(this::recordingModule, c -> c, hostEntry("h0", host.address(), "ready"));
         Client newClient = client(node);
         Client other = client(node);
         assertEquals("for one", other.send(orderRequest("one", "b")).receive().text()); // both have been accepted
@@ -422,7 +424,7 @@
         return act -> new ScriptedModule((now, r) -> handledRequests.add(r)) {
             @Override
             public void clientDisconnected(double now, String id) {
-                clientsGone.add(id);
+                disconnectedClients.add(id);
             }
         };
     }
@@ -444,7 +446,7 @@
             Client c = client(node).send(sent);
             String id = next(handledRequests).id();
             c.close();
-            assertEquals(id, next(clientsGone));
+            assertEquals(id, next(disconnectedClients));
             assertEquals(0, memoryUsed(node));
         }
         assertTrue(handledRequests.isEmpty());
@@ -456,7 +458,7 @@
         Node node = node(holdingModule(), c -> c);
         Client large = client(node).send(orderRequest("long", "b".repeat(8 << 20)));
         assertEquals("long", next(handledRequests).id());
-        assertEquals("long", next(clientsGone));
+        assertEquals("long", next(disconnectedClients));
         assertEquals(503, large.receive().status());
         Client flood = client(node);
         Thread sending = new Thread(() -> {
@@ -468,7 +470,7 @@
         });
         sending.start();
         assertEquals("flood", next(handledRequests).id());
-        assertEquals("flood", next(clientsGone));
+        assertEquals("flood", next(disconnectedClients));
         sending.join();
         assertTrue(handledRequests.isEmpty());
         assertEquals(0, memoryUsed(node));
--- a/src/test/java/deckfall/net/WarmUpTest.java
+++ b/src/test/java/deckfall/net/WarmUpTest.java
@@ -14,7 +14,7 @@
 
 /** Tests the warm-up of a node before it serves. */
 class WarmUpTest {
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
     private static NodeConfig config(String text) throws Exception {
         return NodeConfig.of(new ObjectMapper().readTree(text));
@@ -70,7 +70,7 @@
         node.markAsWarmUp();
         node.start();
         try (Client c = new Client(node)) {
-            assertEquals(503, c.send(HEALTH).receive().status());
+            assertEquals(503, c.send(HEALTH_REQUEST).receive().status());
         } finally {
             node.stop();
         }
