--- a/src/main/java/deckfall/soak/RuleChecker.java
+++ b/src/main/java/deckfall/soak/RuleChecker.java
@@ -73,7 +73,7 @@
         final String id;
         final boolean booking;
         final int gatewayNumber;
-        final long deadlineMs;
+        final long deadlineMs; // counted from the time at which the request is sent
         double sentAtMs;
         volatile double clientClosedAtMs = Double.NaN;
         volatile boolean responseTruncated; // by the server
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -44,7 +44,7 @@
         s.getOutputStream().write(okResponse(m.header("X-Trace-Id")));
     }
 
-    /** Answers each call with the next of {@code responses}; an empty one closes the connection. */
+    /** Responds to each call with the next of {@code responses}; an empty one closes the connection. */
     private Server discovery() throws IOException {
         return closeLater(new Server((m, s) -> {
             String body = responses.take();
--- a/src/test/java/deckfall/net/ProcessTest.java
+++ b/src/test/java/deckfall/net/ProcessTest.java
@@ -266,7 +266,7 @@
             awaitLines("processes serving as this gateway: 2", 2);
             signal("TERM", first);
             while (ProcessHandle.of(first).map(ProcessHandle::isAlive).orElse(false)) {
-                ready(); // either process may answer
+                ready(); // either process may respond
             }
             awaitLines("ended, all answered", 1);
             awaitLines("processes serving as this gateway: 1", 1);
--- a/src/test/java/deckfall/net/RaceConditionTest.java
+++ b/src/test/java/deckfall/net/RaceConditionTest.java
@@ -45,14 +45,14 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Pairs of events that race, each in its harmful order. The test controls one side of each pair. */
+/** Tests races between two events, each in the harmful order. The test controls the time of one of the two events. */
 class RaceConditionTest {
     private static final int MAX_REQUESTS_PER_HOST = 8; // further requests for one host are queued
     private final Deque<Closeable> closeables = new ArrayDeque<>();
     // Requests, added after the module has acted on them
     private final BlockingQueue<Request> handledRequests = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
-    // Ids of requests whose client has left, added after the module has acted on that
+    // Ids of requests whose client has disconnected, added after the module has acted on that
     private final BlockingQueue<String> disconnectedClients = new LinkedBlockingQueue<>();
     private final ManualClock clock = new ManualClock();
     private DiscoveryServer discovery;
