--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -872,9 +872,9 @@
             return;
         }
         drain.begin();
-        double acceptDeadlineMs = clock.now() + Drain.acceptDeadlineMs(config.settings());
+        double acceptUntilMs = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
-                () -> stopAccepting(acceptDeadlineMs),
+                () -> stopAccepting(acceptUntilMs),
                 Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS); // after the drain's first sweep, which is due at the same time
         loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
@@ -912,12 +912,12 @@
      * clients send at once on new connections. Closing it while connections wait in its queue would reset them. If
      * another process serves on the same listener, the queue may be left to that process.
      */
-    private void stopAccepting(double acceptDeadlineMs) {
+    private void stopAccepting(double acceptUntilMs) {
         boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
         boolean allAccepted = servedBySibling || clientServer.acceptQueued();
         boolean recentlyActive = !servedBySibling && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
-        if ((recentlyActive || !allAccepted) && clock.now() < acceptDeadlineMs) {
-            loop.schedule(() -> stopAccepting(acceptDeadlineMs), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        if ((recentlyActive || !allAccepted) && clock.now() < acceptUntilMs) {
+            loop.schedule(() -> stopAccepting(acceptUntilMs), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         clientServer.stopAccepting();
