--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -114,7 +114,7 @@
         return Math.min(RESERVED_DESCRIPTORS, sockets / RESERVED_DIVISOR);
     }
 
-    /** One request to a host, whose end is reported once; implementations ignore later reports. */
+    /** One request to a host. Its first end counts; implementations of {@link #onEnd} ignore later calls. */
     abstract static class Exchange {
         private Connection connection;
         private boolean started;
