--- a/src/main/java/deckfall/DecisionModule.java
+++ b/src/main/java/deckfall/DecisionModule.java
@@ -37,7 +37,7 @@
 /**
  * Makes every decision of one gateway; its interface (events, actions, settings) is in Gateway.java.
  *
- * <p>It decides on the admission of requests, the order in which queued requests are released, the weights of request
+ * <p>It decides on the admission of requests, the order in which queued requests are dispatched, the weights of request
  * classes, the choice and the health of hosts, retries and the messages to peer gateways. It does no input or output
  * and reads no clock: it is called with events, each with its time, and answers with actions. Equal events lead to
  * equal actions. It isn't thread-safe.
@@ -83,7 +83,7 @@
     /** Share of the whole quota by which each new meter reading that leaves room raises a share with unmet demand. */
     private static final double SHARE_RAISE_STEP = 0.1;
 
-    /** An owner's report older than this no longer allows admission without asking the owner. */
+    /** An owner's report older than this no longer allows admission without a query to the owner. */
     private static final double FRESH_LEVEL_MS = 1000;
 
     /** Once an owner's report is older than this, the even share applies. */
@@ -119,7 +119,7 @@
     private static final double MAX_EXCESS_COST_SHARE = 0.03;
 
     /**
-     * Factor by which each request that is admitted raises the admission margin while {@link #MAX_EXCESS_COST_SHARE} is
+     * Factor by which each admitted request raises the admission margin while {@link #MAX_EXCESS_COST_SHARE} is
      * exceeded, and lowers it otherwise.
      */
     private static final double MARGIN_STEP = 1.05;
@@ -179,7 +179,7 @@
     /** Time that a request must have left before its deadline to wait for the counter's result. */
     private static final double COUNTER_CALL_ALLOWANCE_MS = 150;
 
-    // ---- constants: release of queued requests
+    // ---- constants: dispatch of queued requests
 
     /** Extra concurrency for bursts, in square roots of the even share of the fleet's concurrency. */
     private static final double BURST_HEADROOM = 0.7;
@@ -232,8 +232,8 @@
     /** Mean latency, as a share of the goal, that is always taken as queueing. */
     private static final double QUEUEING_GOAL_SHARE = 0.5;
 
-    /** Weight of one release in the mean gap between releases. */
-    private static final double RELEASE_GAP_GAIN = 0.1;
+    /** Weight of one dispatch in the mean gap between dispatches. */
+    private static final double DISPATCH_GAP_GAIN = 0.1;
 
     /** Expected time of the largest request before the first response, as a share of the latency goal. */
     private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
@@ -321,7 +321,7 @@
     /** Retries that each first attempt earns. */
     private static final double RETRY_BUDGET_SHARE = 0.2;
 
-    /** Largest number of retries that can be saved up. */
+    /** Size of the token bucket of retries. */
     private static final double MAX_RETRY_TOKENS = 20;
 
     /** Share of a key's window in which a retry may leave; the rest covers the way to the host. */
@@ -399,7 +399,7 @@
     /** Capacity of the eligible hosts, in warm hosts. */
     private double warmCapacity;
 
-    /** The virtual time of fair queueing: that of the class that released last. */
+    /** The virtual time of fair queueing: that of the class that dispatched last. */
     private double virtualTime;
 
     private double retryTokens = MAX_RETRY_TOKENS / 2;
@@ -448,13 +448,13 @@
         updates.forEach(update -> hosts.computeIfAbsent(update.id(), id -> new TrackedHost(update))
                 .update(update));
         refreshHosts(now);
-        releaseQueued(now);
+        dispatchQueued(now);
     }
 
     @Override
     public void requestReceived(double now, Request details) {
         ClassState classState = classes.get(details.requestClass());
-        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN); // nothing is known of its class
+        if (classState == null) actions.refuse(details.id(), 0, Refusal.UNKNOWN);
         if (classState == null) return;
         Integer planNumber = planNumbers.get(details.plan());
         CustomerState customer = planNumber == null
@@ -465,14 +465,14 @@
         switch (customer == null ? AdmissionVerdict.ADMIT : decideAdmission(now, request)) {
             case ADMIT -> admit(now, request);
             case REFUSE -> admitOrRefuse(now, request, false);
-            case ASK_COUNTER -> askCounter(now, request);
-            default -> askOwner(now, request, 0);
+            case CALL_COUNTER -> holdForCounterCall(now, request);
+            default -> queryOwner(now, request, 0);
         }
         if (customer != null && request.admitted) notifyOwners(now, customer);
         flushOutbox(now);
     }
 
-    /** Admits a request: charges its units and releases it or puts it into its class's queue. */
+    /** Admits a request: charges its units, puts it into its class's queue and dispatches it if it can. */
     private void admit(double now, RequestState request) {
         ClassState classState = request.classState;
         request.admitted = true;
@@ -481,10 +481,10 @@
         if (customer != null) charge(now, customer, request.details.units(), request.details.units());
         if (classState.queue.isEmpty()) classState.virtualTime = Math.max(classState.virtualTime, virtualTime);
         classState.queue.addLast(request);
-        releaseQueued(now);
+        dispatchQueued(now);
         // A request that would wait past its hold deadline is refused at once instead of being queued (rule 1).
         boolean queued = !request.closed && request.attempts.isEmpty();
-        if (queued && now + classState.queue.size() * classState.meanReleaseGap >= holdDeadline(request))
+        if (queued && now + classState.queue.size() * classState.meanDispatchGap >= holdDeadline(request))
             finishUnserved(now, request);
     }
 
@@ -512,7 +512,7 @@
             else finishUnserved(now, request);
         }
         if (request.closed && !request.hasAttemptInFlight()) requests.remove(request.details.id());
-        releaseQueued(now);
+        dispatchQueued(now);
     }
 
     @Override
@@ -539,7 +539,7 @@
         adjustConcurrency(now);
         adjustWeights(now);
         evictIdle(now);
-        releaseQueued(now);
+        dispatchQueued(now);
         flushOutbox(now);
     }
 
@@ -549,8 +549,8 @@
     private enum AdmissionVerdict {
         ADMIT,
         REFUSE,
-        ASK_OWNER,
-        ASK_COUNTER
+        QUERY_OWNER,
+        CALL_COUNTER
     }
 
     /** Returns the refilled state of a customer; it is created on first use or if the plan has changed. */
@@ -615,7 +615,10 @@
                 customer.capTokens + plan.capRate() * capShare(customer) * elapsedSeconds);
     }
 
-    /** Counts only a share of the others' part of the burst as free, since all gateways of the set do the same. */
+    /**
+     * The largest number of spare units. Only a share of the others' part of the burst counts as free, since all
+     * gateways of the set make the same estimate.
+     */
     private double maxSpareUnits(CustomerState customer, double share) {
         return customer.plan.burst() * (share + (1.0 / processCount - share) * OTHERS_FREE_SHARE);
     }
@@ -641,7 +644,7 @@
         double unseenUnits = othersRate(customer) * METER_LAG_MS / 1000;
         boolean mayEstimate = settings.coordination().meterPeriodMs() > 0 || !hasCostlyExcess(customer.plan);
         return mayEstimate
-                && !settings.limits().peerMessages()
+                && !settings.limits().mayMessagePeers()
                 && customer.spread > 1
                 && customer.spareUnits - unseenUnits >= units;
     }
@@ -654,7 +657,7 @@
     /** The share of all processes of this gateway together. */
     private double gatewayShare(double now, CustomerState customer) {
         if (customer.spread == 1) return 1;
-        if (!settings.limits().peerMessages())
+        if (!settings.limits().mayMessagePeers())
             return now - customer.meterAt < STALE_LEVEL_MS ? customer.meterShare : 1.0 / customer.spread;
         if (now - customer.sharedLevelAt > STALE_LEVEL_MS
                 && decidingOwner(now, customer, 0) != settings.gatewayNumber()) return 1.0 / customer.spread;
@@ -675,7 +678,7 @@
     }
 
     /**
-     * Returns whether this gateway, as an owner, doesn't know the use before its start. This ends when a peer
+     * Returns whether this gateway, as an owner, has no report of the use before its start. This ends when a peer
      * reports the level, or once the time since the start has refilled a whole burst, so that the earlier use no longer
      * matters.
      */
@@ -683,7 +686,7 @@
         return !customer.informed && (now - startedAt) / 1000 * customer.plan.rate() < customer.plan.burst();
     }
 
-    /** Decides whether to admit a request or, if this gateway can't decide it, whether an owner or the counter does. */
+    /** Decides on a request or, if this gateway can't decide it, whether an owner or the counter is to be queried. */
     private AdmissionVerdict decideAdmission(double now, RequestState request) {
         CustomerState customer = request.customer;
         double units = request.details.units();
@@ -698,33 +701,34 @@
             if (now - customer.ownerNotifiedAt > OWNER_SYNC_INTERVAL_MS) notifyOwners(now, customer);
             return AdmissionVerdict.REFUSE;
         }
-        if (hasQuota) request.evidence = evidence(now, request);
+        if (hasQuota) request.evidenceIndex = evidenceIndex(now, request);
         if (hasQuota && hasWideSet(customer)) return decideWideSet(now, request);
-        boolean asksOwner = settings.limits().peerMessages() && customer.spread > 1;
+        boolean queriesOwner = settings.limits().mayMessagePeers() && customer.spread > 1;
         int decidingOwner = decidingOwner(now, customer, 0);
         boolean hasRoom = !hasQuota
-                || decidingOwner == settings.gatewayNumber() && asksOwner
-                || customer.ownTokens >= units && (!asksOwner || now - customer.sharedLevelAt < FRESH_LEVEL_MS)
+                || decidingOwner == settings.gatewayNumber() && queriesOwner
+                || customer.ownTokens >= units && (!queriesOwner || now - customer.sharedLevelAt < FRESH_LEVEL_MS)
                 || hasSpareUnits(customer, units)
-                || (asksOwner || usesCounter(customer))
+                || (queriesOwner || usesCounter(customer))
                         && now - customer.sharedLevelAt < FRESH_LEVEL_MS
                         && customer.quotaLevel - unseenUseReserve(now, customer) >= units;
-        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units; // rule 5: the own share needs no peer
+        // Rule 5: the own share of the cap may be spent without a query to a peer.
+        boolean hasCapRoom = plan.capRate() <= 0 || customer.capTokens >= units;
         if (hasRoom && hasCapRoom) return AdmissionVerdict.ADMIT;
         request.requestedUnits = units;
         if (usesCounter(customer) && hasCapRoom && drawsCounterCall(now, request, roomChance(request)))
-            return AdmissionVerdict.ASK_COUNTER;
-        return asksOwner ? AdmissionVerdict.ASK_OWNER : AdmissionVerdict.REFUSE;
+            return AdmissionVerdict.CALL_COUNTER;
+        return queriesOwner ? AdmissionVerdict.QUERY_OWNER : AdmissionVerdict.REFUSE;
     }
 
     /** Returns whether so many gateways share a customer that an even share of the burst holds no whole request. */
     private boolean hasTooSmallShares(CustomerState customer) {
-        return !settings.limits().peerMessages()
+        return !settings.limits().mayMessagePeers()
                 && customer.plan.burst() / customer.spread
                         < settings.coordination().maxUnitsPerRequest();
     }
 
-    /** Returns whether a share shows nothing of the whole quota, so that the counter is called as often as possible. */
+    /** Returns whether a share of the quota is too small to show its state, so that {@link #decideWideSet} decides. */
     private boolean hasWideSet(CustomerState customer) {
         return hasTooSmallShares(customer)
                 && customer.plan.capRate() <= 0
@@ -754,7 +758,7 @@
                     : AdmissionVerdict.REFUSE;
         boolean admits = isAdmissionWorthwhile(now, request);
         boolean foundEmpty = customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)) == CounterVerdict.EMPTY;
-        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // the counter refused a moment ago
+        if (!admits && foundEmpty) return AdmissionVerdict.REFUSE; // a recent call found the quota empty
         boolean callsCounter =
                 drawsCounterCall(now, request, admits ? expectedExcessCost(now, request) : roomChance(request));
         if (!callsCounter && admits) adjustAdmissionMargin(request, roomChance(request));
@@ -762,7 +766,7 @@
         // If room is unlikely, the units are added once the request is admitted.
         request.requestedUnits = roomChance(request) >= LIKELY_ROOM_CHANCE ? units : 0;
         request.sampledUnits = admits ? units * (1 / (request.callProbability * callBudget.allowedShare()) - 1) : 0;
-        return AdmissionVerdict.ASK_COUNTER;
+        return AdmissionVerdict.CALL_COUNTER;
     }
 
     /** Draws whether to make a counter call that saves this share of the request's worth. */
@@ -773,7 +777,7 @@
 
     /** The estimated probability that the whole quota has room for a request. */
     private double roomChance(RequestState request) {
-        return admissionEstimates[request.customer.planNumber].chance(request.evidence);
+        return admissionEstimates[request.customer.planNumber].chance(request.evidenceIndex);
     }
 
     /** The expected cost of admitting a request without a call, relative to its worth and scaled by the margin. */
@@ -802,8 +806,8 @@
         return EVIDENCE_BURSTS * 1000 * plan.burst() / plan.rate();
     }
 
-    /** What is known of a request's customer without a call: the last counter result and meter reading. */
-    private int evidence(double now, RequestState request) {
+    /** The index of the evidence on a request's customer: the last counter result and meter reading. */
+    private int evidenceIndex(double now, RequestState request) {
         CustomerState customer = request.customer;
         double quotaPerPeriod = customer.plan.rate() * settings.coordination().meterPeriodMs() / 1000;
         double meteredUnits = now - customer.meterAt < evidenceLifetimeMs(customer.plan)
@@ -813,7 +817,7 @@
                 > Math.max(
                         quotaPerPeriod,
                         MAX_OWN_USE_REQUESTS * settings.coordination().maxUnitsPerRequest());
-        return AdmissionEstimate.evidence(
+        return AdmissionEstimate.evidenceIndex(
                 request.details.retry(), overQuota, customer.counterVerdict(now, evidenceLifetimeMs(customer.plan)));
     }
 
@@ -824,20 +828,20 @@
         return rate * (now - customer.sharedLevelAt + REPORT_LAG_MS) / 1000 * 2 * cost / (1 + cost);
     }
 
-    /** Returns whether the limit of open requests allows one more; of the own share, if the others' aren't known. */
+    /** Returns whether the limit of open requests allows one more: by the own share, if the others' aren't known. */
     private boolean isBelowOpenLimit(double now, CustomerState customer) {
         int limit = customer.plan.openLimit();
-        boolean knowsOthers = customer.spread == 1
-                || settings.limits().peerMessages()
+        boolean othersKnown = customer.spread == 1
+                || settings.limits().mayMessagePeers()
                         && (decidingOwner(now, customer, 0) == settings.gatewayNumber()
                                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS);
         return limit <= 0
-                || (knowsOthers
+                || (othersKnown
                         ? customer.openRequests + customer.othersOpenRequests < limit
                         : customer.openRequests < Math.max(1, (int) (limit * processShare(now, customer))));
     }
 
-    /** The time until the quota has refilled enough; every refusal advises one. */
+    /** The retry delay that a refusal advises: the time until the quota has refilled enough. */
     private double retryAfterMs(double now, CustomerState customer, double units) {
         if (customer.plan.rate() <= 0) return boundRetryAfterMs(0);
         double quotaWaitMs = 1000 * (units - customer.quotaLevel) / customer.plan.rate();
@@ -845,7 +849,7 @@
                 * (units - customer.ownTokens)
                 / (customer.plan.rate() * Math.max(EVEN_SHARE_PRIOR, processShare(now, customer)));
         return boundRetryAfterMs(
-                settings.limits().peerMessages() || now - customer.counterTotalAt < FRESH_LEVEL_MS
+                settings.limits().mayMessagePeers() || now - customer.counterTotalAt < FRESH_LEVEL_MS
                         ? quotaWaitMs
                         : Math.max(quotaWaitMs, ownBucketWaitMs));
     }
@@ -874,7 +878,7 @@
      * older total would grow by itself: each gateway of the set would see its share rise until the next reading.
      */
     private void applyMeterReading(double now, CustomerState customer, int reading) {
-        if (reading <= 0 || settings.limits().peerMessages() || customer.plan.rate() <= 0) return;
+        if (reading <= 0 || settings.limits().mayMessagePeers() || customer.plan.rate() <= 0) return;
         customer.meterAt = now;
         double periodMs = settings.coordination().meterPeriodMs();
         // A reading that is repeated within its period shows nothing new.
@@ -897,7 +901,7 @@
 
     @Override
     public void processCountChanged(double now, int count) {
-        // Saved tokens are split evenly with new processes.
+        // The tokens are split evenly with new processes.
         double keptShare = Math.min(1, (double) processCount / count);
         customers.values().forEach(customer -> refill(now, customer));
         processCount = count;
@@ -931,14 +935,14 @@
     /** Returns whether the counter tracks a customer's use by all of its set, as gateways can't exchange messages. */
     private boolean usesCounter(CustomerState customer) {
         return settings.coordination().hasCounter()
-                && !settings.limits().peerMessages()
+                && !settings.limits().mayMessagePeers()
                 && customer.spread > 1
                 && customer.plan.rate() > 0
                 && !customer.plan.excessPays();
     }
 
     /** Holds a request that the own share has no room for until the counter call has ended. */
-    private void askCounter(double now, RequestState request) {
+    private void holdForCounterCall(double now, RequestState request) {
         CustomerState customer = request.customer;
         if (now + COUNTER_CALL_ALLOWANCE_MS >= request.details.deadlineMs() - DEADLINE_MARGIN_MS) {
             admitOrRefuse(now, request, false);
@@ -1010,7 +1014,7 @@
     /** Records for a customer and its plan whether the quota had room for a request, by a result of the counter. */
     private void recordCounterVerdict(double now, RequestState request, boolean hasRoom) {
         CustomerState customer = request.customer;
-        admissionEstimates[customer.planNumber].record(request.evidence, hasRoom);
+        admissionEstimates[customer.planNumber].record(request.evidenceIndex, hasRoom);
         request.refusal = hasRoom ? Refusal.OPEN : Refusal.QUOTA; // applies if it isn't admitted
         customer.counterVerdict = CounterVerdict.of(hasRoom, customer.fullness());
     }
@@ -1022,7 +1026,7 @@
         double units = Math.min(
                 customer.plan.burst(), valuePerUnit * Math.abs(customer.unreportedUnits) + customer.expiredUnits);
         return units > 0
-                && callBudget.hasSavedCall(now)
+                && callBudget.hasCallToken(now)
                 && units * customer.plan.valueFactor() * meanWorth >= callBudget.price(now);
     }
 
@@ -1057,7 +1061,7 @@
         for (CustomerState customer : new ArrayList<>(unreportedCustomers)) {
             boolean windowEnded =
                     hasWideSet(customer) && customer.counterWindow != customer.windowAt(now, COUNTER_LIFETIME_MS);
-            if (windowEnded) customer.unreportedUnits = 0; // the name of an ended window is no longer read
+            if (windowEnded) customer.unreportedUnits = 0; // no gateway reads the counter name of an ended window
             if (customer.unreportedUnits == 0) unreportedCustomers.remove(customer);
             else if (!customer.callInFlight
                     && now - customer.counterCalledAt >= COUNTER_REPORT_INTERVAL_MS
@@ -1067,8 +1071,11 @@
 
     // ---- queries to owners
 
-    /** Holds a request until the next available owner answers; if there is none, the even share decides. */
-    private void askOwner(double now, RequestState request, int ownerIndex) {
+    /**
+     * Queries the next available owner on a request and holds the request until it answers. If no owner is available or
+     * the deadline is near, this gateway decides.
+     */
+    private void queryOwner(double now, RequestState request, int ownerIndex) {
         CustomerState customer = request.customer;
         int owner = ownerIndex < customer.owners.length ? decidingOwner(now, customer, ownerIndex) : -1;
         if (owner < 0
@@ -1085,8 +1092,8 @@
             return;
         }
         request.ownerIndex = owner == customer.owners[0] ? 0 : customer.owners.length - 1;
-        request.askedOwner = owner;
-        request.querySerial = peers[owner].sentSerial + 1; // of the next message; the last one didn't carry this query
+        request.queriedOwner = owner;
+        request.querySerial = peers[owner].sentSerial + 1; // of the next message, which will carry this query
         request.answerDueAt = now + OWNER_ANSWER_TIMEOUT_MS;
         if (!customer.pending.contains(request)) customer.pending.addLast(request);
         ownerQueries.add(request);
@@ -1104,7 +1111,7 @@
     }
 
     /**
-     * Passes queries without an answer to the next owner, and sends the silent one no further queries for a while. Only
+     * Passes queries without an answer to the next owner, and sends the unresponsive one no queries for a while. Only
      * a missing answer shows that a peer doesn't respond.
      */
     private void expireOwnerQueries(double now) {
@@ -1112,9 +1119,9 @@
         for (RequestState request :
                 ownerQueries.stream().filter(query -> now >= query.answerDueAt).toList()) {
             ownerQueries.remove(request);
-            peers[request.askedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
+            peers[request.queriedOwner].unresponsiveUntil = now + UNRESPONSIVE_MS;
             refill(now, request.customer);
-            askOwner(now, request, request.ownerIndex + 1);
+            queryOwner(now, request, request.ownerIndex + 1);
         }
     }
 
@@ -1122,7 +1129,7 @@
 
     /** Reports a change to the deciding owner at once; if that is this gateway, to the other owners at an interval. */
     private void notifyOwners(double now, CustomerState customer) {
-        if (!settings.limits().peerMessages() || customer.spread == 1) return;
+        if (!settings.limits().mayMessagePeers() || customer.spread == 1) return;
         int owner = decidingOwner(now, customer, 0);
         if (owner != settings.gatewayNumber()) {
             customer.ownerNotifiedAt = now;
@@ -1185,16 +1192,16 @@
     /** The report on a customer to its owner; it also carries the queries of the customer's pending requests. */
     private PeerMessage.Entry reportEntry(double now, CustomerState customer, PeerState owner) {
         for (RequestState request : customer.pending)
-            if (request.askedOwner == owner.number) request.querySerial = owner.sentSerial;
+            if (request.queriedOwner == owner.number) request.querySerial = owner.sentSerial;
         double wantedUnits = customer.pendingUnits();
-        boolean replyWanted = decidingOwner(now, customer, 0) == owner.number
+        boolean answerWanted = decidingOwner(now, customer, 0) == owner.number
                 || now < owner.unresponsiveUntil
-                || customer.pending.stream().anyMatch(request -> request.askedOwner == owner.number);
+                || customer.pending.stream().anyMatch(request -> request.queriedOwner == owner.number);
         boolean hasLevel = decidingOwner(now, customer, 0) == settings.gatewayNumber()
                 || now - customer.sharedLevelAt < FRESH_LEVEL_MS;
         return new PeerMessage.Entry(
                 false,
-                replyWanted,
+                answerWanted,
                 customer.plan.capRate() > 0 && customer.capTokens < wantedUnits,
                 false,
                 hasLevel,
@@ -1299,11 +1306,11 @@
         if (decidingOwner(now, customer, 0) == settings.gatewayNumber() && spentUnits + member.grantedUnits != 0)
             notifyOwners(now, customer);
         // Units are deducted here before they are sent, so a lost message loses units and never creates any.
-        if (grants && givesCapUnits && entry.replyWanted()) {
+        if (grants && givesCapUnits && entry.answerWanted()) {
             customer.capTokens -= entry.wantedUnits();
             member.capUnitsGiven += entry.wantedUnits();
         }
-        if (entry.replyWanted()) {
+        if (entry.answerWanted()) {
             peer.dueAnswers.add(customer);
             enqueuePeer(peer, null);
         }
@@ -1324,7 +1331,7 @@
         }
         List<RequestState> answeredRequests = customer.pending.stream()
                 .filter(query ->
-                        query.askedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, answeredSerial))
+                        query.queriedOwner == peer.number && !PeerMessage.isAfter(query.querySerial, answeredSerial))
                 .toList();
         if (!entry.uninformed()) {
             customer.othersDemand = entry.demand();
@@ -1338,7 +1345,7 @@
         for (RequestState request : answeredRequests) {
             double units = request.details.units();
             if (entry.uninformed() && request.ownerIndex + 1 < customer.owners.length) {
-                askOwner(now, request, request.ownerIndex + 1);
+                queryOwner(now, request, request.ownerIndex + 1);
                 continue;
             }
             customer.pending.remove(request);
@@ -1352,7 +1359,7 @@
         }
     }
 
-    // ---- release
+    // ---- dispatch of queued requests
 
     /** The limit of attempts in flight: an even share of the fleet's concurrency and headroom for random bursts. */
     private double concurrencyLimit() {
@@ -1360,8 +1367,8 @@
         return Math.max(1, evenShare + BURST_HEADROOM * Math.sqrt(evenShare) * (1 - 1.0 / peers.length));
     }
 
-    /** Work-conserving fair queueing: the backlogged class with the smallest virtual time goes next. */
-    private void releaseQueued(double now) {
+    /** Dispatches by work-conserving fair queueing: the backlogged class with the smallest virtual time is next. */
+    private void dispatchQueued(double now) {
         double limit = concurrencyLimit();
         LinkedHashSet<ClassState> blocked = new LinkedHashSet<>();
         while (attemptsInFlight < limit) {
@@ -1371,13 +1378,13 @@
                 if (earlier && !classState.queue.isEmpty() && !blocked.contains(classState)) next = classState;
             }
             if (next == null) return;
-            if (!releaseNext(now, next)) blocked.add(next);
+            if (!dispatchNext(now, next)) blocked.add(next);
         }
         requestsWaited = true;
     }
 
     /** Sends the first queued request of a class that has a permitted host; returns false if there is none. */
-    private boolean releaseNext(double now, ClassState classState) {
+    private boolean dispatchNext(double now, ClassState classState) {
         for (RequestState request : classState.queue.stream().limit(MAX_SCANNED).toList()) {
             TrackedHost host = pickHost(now, request);
             if (host == null) continue;
@@ -1385,11 +1392,11 @@
             virtualTime = Math.max(virtualTime, classState.virtualTime);
             classState.virtualTime += request.expectedMs() / classState.weight;
             boolean backlogged = !classState.queue.isEmpty();
-            if (backlogged && classState.releasedAt > DecisionState.NEVER) {
-                classState.meanReleaseGap +=
-                        RELEASE_GAP_GAIN * (now - classState.releasedAt - classState.meanReleaseGap);
+            if (backlogged && classState.dispatchedAt > DecisionState.NEVER) {
+                classState.meanDispatchGap +=
+                        DISPATCH_GAP_GAIN * (now - classState.dispatchedAt - classState.meanDispatchGap);
             }
-            classState.releasedAt = backlogged ? now : DecisionState.NEVER;
+            classState.dispatchedAt = backlogged ? now : DecisionState.NEVER;
             sendAttempt(now, request, host);
             return true;
         }
@@ -1442,12 +1449,12 @@
                 || spec.effect() == Effect.KEYED && spec.keyScope() == Gateway.KeyScope.ALL;
         closeRequest(now, request);
         // There may be room once the requests queued now have been sent.
-        double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanReleaseGap);
+        double waitMs = boundRetryAfterMs(request.classState.queue.size() * request.classState.meanDispatchGap);
         if (retryIsSafe) actions.refuse(request.details.id(), waitMs, Refusal.PLACE);
         else actions.fail(request.details.id());
     }
 
-    /** Closes a request: its client waits for no response any more. If it was never sent, its units are returned. */
+    /** Closes a request: its client no longer waits for a response. If it was never sent, its units are returned. */
     private void closeRequest(double now, RequestState request) {
         if (!request.hasAttemptInFlight()) requests.remove(request.details.id());
         if (request.closed) return;
@@ -1524,7 +1531,7 @@
                 worst = classState;
             surplus += surplus(classState);
         }
-        if (worst == null || surplus <= 0) return false; // all meet their goals, or none has a surplus
+        if (worst == null || surplus <= 0) return false; // no class misses its goal, or none has a surplus
         double wanted =
                 worst.delaySlope > 0 ? (worst.meanDelay - delayGoalMs(worst)) / worst.delaySlope : INITIAL_WEIGHT_STEP;
         double moved = 0;
@@ -1632,7 +1639,7 @@
             // A cold host has no attempts in flight and would win each time, so it is a candidate only as often as it
             // may win (rule 4).
             double capacityShare = host.capacityShare(now, settings.rules());
-            double allowance = COLD_ALLOWANCE_SHARE * settings.rules().fallMultiple() * capacityShare;
+            double allowance = COLD_ALLOWANCE_SHARE * settings.rules().coldLoadMultiple() * capacityShare;
             if (capacityShare < 1 && random.nextDouble() * candidateCount > allowance) continue;
             double score = score(now, request, host) * (1 + TIE_BREAK_NOISE * random.nextDouble());
             if (score < bestScore) best = host;
--- a/src/main/java/deckfall/PeerMessage.java
+++ b/src/main/java/deckfall/PeerMessage.java
@@ -10,7 +10,7 @@
  * far as the sender knows it, the serial number of this message, the serial number of the last message received from
  * the receiver, and entries on customers. An epoch is one run of a gateway process.
  *
- * <p>This class only translates. Amounts are fixed-point numbers that are clamped to the range of their fields.
+ * <p>This class only encodes and decodes. Amounts are fixed-point numbers, clamped to the range of their fields.
  */
 record PeerMessage(int epoch, int receiverEpoch, int serial, int receivedSerial, List<Entry> entries) {
     static final int HEADER_BYTES = 16;
@@ -22,7 +22,7 @@
     private static final int CAP_UNITS_BYTES = 4;
     private static final byte VERSION = 3;
     private static final int ANSWER_FLAG = 1;
-    private static final int REPLY_WANTED_FLAG = 2;
+    private static final int ANSWER_WANTED_FLAG = 2;
     private static final int CAP_FLAG = 4;
     private static final int UNINFORMED_FLAG = 8;
     private static final int LEVEL_FLAG = 16;
@@ -38,11 +38,11 @@
      *
      * @param cap in a report, whether the wanted units exceed the gateway's share of the cap; in an answer, whether it
      *     carries the total of cap units given
-     * @param uninformed in an answer, whether the owner doesn't know the use before its start
+     * @param uninformed in an answer, whether the owner has no report of the use before its start
      */
     record Entry(
             boolean answer,
-            boolean replyWanted,
+            boolean answerWanted,
             boolean cap,
             boolean uninformed,
             boolean hasLevel,
@@ -65,7 +65,7 @@
 
         private void encode(ByteBuffer buffer) {
             buffer.put((byte) ((answer ? ANSWER_FLAG : 0)
-                    | (replyWanted ? REPLY_WANTED_FLAG : 0)
+                    | (answerWanted ? ANSWER_WANTED_FLAG : 0)
                     | (cap ? CAP_FLAG : 0)
                     | (uninformed ? UNINFORMED_FLAG : 0)
                     | (hasLevel ? LEVEL_FLAG : 0)));
@@ -97,7 +97,7 @@
             double capUnitsGiven = answer && cap ? buffer.getInt() / FIXED_POINT_PER_UNIT : 0;
             return new Entry(
                     answer,
-                    (flags & REPLY_WANTED_FLAG) != 0,
+                    (flags & ANSWER_WANTED_FLAG) != 0,
                     cap,
                     (flags & UNINFORMED_FLAG) != 0,
                     hasLevel,
--- a/src/main/java/deckfall/scale/SimulatedGateway.java
+++ b/src/main/java/deckfall/scale/SimulatedGateway.java
@@ -18,13 +18,13 @@
 /**
  * One process of a gateway without its sockets: the real decision module, whose actions are executed on the simulated
  * services once it has returned, so that its measured time contains nothing else. It keeps the guarantees that the
- * surrounding program gives to the module: attempts end at the deadline of their request, and a late reply to a
+ * node of the real process gives to the module: attempts end at the deadline of their request, and a late reply to a
  * counter call is dropped.
  */
 final class SimulatedGateway extends FleetGateway implements Actions {
-    private static final int MAX_OPEN_CALLS = 256; // limit of calls on the program's connection to the counter
-    private static final double STUCK_CONNECTION_MS = 5000; // until the program abandons the counter connection
-    private static final double[] NO_LOAD_REPORT = new double[0];
+    private static final int MAX_OPEN_CALLS = 256; // as on a node's connection to the counter
+    private static final double MAX_CALL_AGE_MS = 5000; // until a node gives up its counter connection
+    private static final double[] NO_LOAD_METRICS = new double[0];
 
     /** The kinds of events. The kind decides whether requests wait for the counter calls that an event causes. */
     private enum EventKind {
@@ -91,7 +91,7 @@
         pendingCalls.clear();
     }
 
-    /** Takes over the state of another process of the same gateway, next to which it serves from now on. */
+    /** Takes over the state of another process of the same gateway; both serve from now on. */
     void takeOver(SimulatedGateway predecessor) {
         deliver(
                 EventKind.OTHER,
@@ -162,7 +162,7 @@
                 closesRequest,
                 meterReading,
                 0,
-                NO_LOAD_REPORT);
+                NO_LOAD_METRICS);
         deliver(EventKind.OTHER, null, () -> module.attemptEnded(now(), result));
         removeIfComplete(request);
     }
@@ -285,7 +285,7 @@
         openCalls++;
         fleet.callCounter(
                 this, call.name, call.amount, call.lifetimeMs, fleet.options.counterTimeoutMs, (outcome, total) -> {
-                    fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? STUCK_CONNECTION_MS : 0, () -> openCalls--);
+                    fleet.queue.scheduleAfter(outcome == Outcome.TIMEOUT ? MAX_CALL_AGE_MS : 0, () -> openCalls--);
                     counterCallEnded(call.name, outcome, total);
                 });
     }
--- a/src/test/java/deckfall/ColdServerSimulation.java
+++ b/src/test/java/deckfall/ColdServerSimulation.java
@@ -26,7 +26,7 @@
 final class ColdServerSimulation {
     private static final int GATEWAYS = 30;
     private static final int SLOTS = 4; // requests that a server runs at a time
-    private static final int QUEUE_PLACES = 4 * SLOTS; // for requests that wait for a slot
+    private static final int QUEUE_SLOTS = 4 * SLOTS; // for requests that wait for a slot
     private static final double MEAN_SERVICE_MS = 200; // on a warm server
     private static final double WARM_UTILIZATION = 0.6; // of the capacity of all servers
     private static final double BURST_FACTOR = 1.5; // times the request rate, from COLD_STOP_MS on
@@ -74,8 +74,8 @@
         }
 
         double capacityShare(double atMs) {
-            double progress = startedMs > 0 ? (atMs - startedMs) / rules.warmWithinMs() : 1;
-            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * progress);
+            double progress = startedMs > 0 ? (atMs - startedMs) / rules.hostWarmUpMs() : 1;
+            return Math.min(1, rules.coldCapacity() + (1 - rules.coldCapacity()) * progress);
         }
 
         void stop() {
@@ -90,7 +90,7 @@
         void accept(Attempt attempt) {
             if (!up) attemptEnded(attempt, Outcome.CONNECT_FAILED);
             else if (inService.size() < SLOTS) serve(attempt);
-            else if (queue.size() < QUEUE_PLACES) queue.add(attempt);
+            else if (queue.size() < QUEUE_SLOTS) queue.add(attempt);
             else attemptEnded(attempt, Outcome.FULL);
         }
 
@@ -110,13 +110,17 @@
         void measureBudgetUse() {
             for (int first = 0, next = 0; first < attemptTimes.size(); first++) {
                 double windowStart = attemptTimes.get(first);
-                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.fallMs()) next++;
-                double budget =
-                        rules.fallMultiple() * capacityShare(windowStart) * rules.fallMs() * SLOTS / MEAN_SERVICE_MS;
+                while (next < attemptTimes.size() && attemptTimes.get(next) < windowStart + rules.coldLoadWindowMs())
+                    next++;
+                double budget = rules.coldLoadMultiple()
+                        * capacityShare(windowStart)
+                        * rules.coldLoadWindowMs()
+                        * SLOTS
+                        / MEAN_SERVICE_MS;
                 peakBudgetUse = Math.max(peakBudgetUse, (next - first) / (budget + 2 * Math.sqrt(budget) + 2));
             }
             double meanShare = (capacityShare(startedMs) + capacityShare(END_MS)) / 2;
-            allowedAttempts += rules.fallMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
+            allowedAttempts += rules.coldLoadMultiple() * meanShare * (END_MS - startedMs) * SLOTS / MEAN_SERVICE_MS;
             attemptsToColdServers += attemptTimes.size();
         }
     }
--- a/src/test/java/deckfall/RequestRulesTest.java
+++ b/src/test/java/deckfall/RequestRulesTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void requestWithNoTimeLeftIsAnsweredAtOnce() {
+    void requestWithNoTimeLeftIsRefusedAtOnce() {
         // Run port-louis rules-3: a late retry was held until the next timer tick, which was after its deadline.
         GatewayHarness gateway = GatewayHarness.singleGateway();
         gateway.module.requestReceived(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void attemptTimeoutAtTheDeadlineIsAnswered() {
+    void requestEndsWhenItsAttemptTimesOutAtTheDeadline() {
         GatewayHarness gateway = GatewayHarness.singleGateway().withHosts("a1");
         gateway.request("r", "read");
         gateway.request("p", "pay");
@@ -138,7 +138,7 @@
         assertTrue(coldAttempts >= 1 && coldAttempts < 10, "cold host got " + coldAttempts);
     }
 
-    /** Sends one request each 20 ms, answered after 160 ms, so that eight are in flight at a time. */
+    /** Sends one request each 20 ms, whose response arrives after 160 ms, so that eight are in flight at a time. */
     private static void sendSteadyLoad(GatewayHarness gateway, int i) {
         gateway.request("w" + i, "read");
         gateway.advance(20);
