--- a/src/main/java/deckfall/net/HostClient.java
+++ b/src/main/java/deckfall/net/HostClient.java
@@ -60,10 +60,10 @@
     private static final double IDLE_LIMIT_FRACTION = 0.6;
     // a close after a shorter idle time says nothing about the host's idle timeout
     private static final double MIN_IDLE_LIMIT_MS = 50;
-    private static final double IDLE_LIMIT_DECREASE_FACTOR =
-            0.8; // of the idle time at which a host closed a connection
+    // of the idle time at which a host closed a connection
+    private static final double IDLE_LIMIT_DECREASE_FACTOR = 0.8;
     private static final double IDLE_LIMIT_GROWTH_FACTOR = 1.02; // per sweep, to recover from a period of early closes
-    // after a write; a reset within this time means that the host had closed the connection before it
+    // after a write began; a reset within this time means that the host had closed the connection before it
     private static final double STALE_CONNECTION_MS = 50;
     // a duplicate of a response may arrive some milliseconds after it
     private static final double REUSE_DELAY_MS = 30;
@@ -114,7 +114,7 @@
         return Math.min(RESERVED_DESCRIPTORS, sockets / RESERVED_DIVISOR);
     }
 
-    /** One request to a host, which ends exactly once; its owner ignores later calls. */
+    /** One request to a host. Its first end counts; implementations of {@link #onEnd} ignore later calls. */
     abstract static class Exchange {
         private Connection connection;
         private boolean started;
@@ -136,8 +136,8 @@
         void beforeWrite() {}
 
         /**
-         * Ends the exchange as {@code FULL} if it still waits for a connection, as its host takes no new requests any
-         * more.
+         * Ends the exchange as {@code FULL} if it still waits for a connection, as its host takes no more new
+         * requests.
          */
         private void rejectIfWaiting() {
             if (connection != null && !started) {
@@ -283,8 +283,8 @@
         node.loop.schedule(this::closeIdle, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         for (Pool pool : pools.values()) {
             pool.raiseIdleLimit();
-            double oldestUsable = node.clock.now() - pool.idleLimitMs;
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince < oldestUsable) {
+            double oldestUsableMs = node.clock.now() - pool.idleLimitMs;
+            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSinceMs < oldestUsableMs) {
                 pool.idle.pollFirst().channel.close();
             }
         }
@@ -315,7 +315,7 @@
 
     /** The complete message if its body has been received, else only its head. */
     private HttpRequest requestFor(Attempt attempt) {
-        IncomingRequest message = attempt.owner.message;
+        IncomingRequest message = attempt.openRequest.message;
         HttpRequest original = message.head;
         HttpRequest request = message.complete()
                 ? new DefaultFullHttpRequest(
@@ -323,9 +323,9 @@
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, original.method(), message.uri);
         HttpHeaders headers = request.headers();
         headers.set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
-        headers.set(HeaderNames.TRACE_ID, attempt.owner.traceId);
+        headers.set(HeaderNames.TRACE_ID, attempt.openRequest.traceId);
         headers.set(HeaderNames.EXPIRES_IN_MS, Long.toString((long)
-                Math.max(1, attempt.owner.deadlineMs - node.clock.now())));
+                Math.max(1, attempt.openRequest.deadlineMs - node.clock.now())));
         String key = original.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (key != null) {
             headers.set(HeaderNames.IDEMPOTENCY_KEY, key);
@@ -348,7 +348,7 @@
     void probe(String host) {
         List<String> names = node.config.settings().loadMetricNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
-        double sentAt = node.clock.now();
+        double sentAtMs = node.clock.now();
         Exchange probe = new Exchange() {
             private boolean ended;
 
@@ -359,7 +359,7 @@
                     node.probeEnded(
                             host,
                             outcome,
-                            node.clock.now() - sentAt,
+                            node.clock.now() - sentAtMs,
                             response == null
                                     ? new double[0]
                                     : parseLoadMetrics(response.content().toString(StandardCharsets.US_ASCII)));
@@ -409,7 +409,7 @@
         double now = node.clock.now();
         for (Iterator<Connection> lastFirst = pool.idle.descendingIterator(); lastFirst.hasNext(); ) {
             Connection connection = lastFirst.next();
-            double idleMs = now - connection.idleSince;
+            double idleMs = now - connection.idleSinceMs;
             if (idleMs < REUSE_DELAY_MS) {
                 continue;
             }
@@ -473,9 +473,9 @@
         private boolean transferComplete; // the same for a streamed response
         private boolean unexpectedData; // data arrived that no request asked for
         private boolean requestWritten; // the last byte of the request was sent
-        private double idleSince;
+        private double idleSinceMs;
         private double idleBeforeRequestMs; // how long the connection was idle before the current request
-        private double writeStartedAt;
+        private double writeStartedAtMs;
 
         Connection(Pool pool) {
             this.pool = pool;
@@ -487,7 +487,7 @@
             next.started = true;
             next.beforeWrite();
             requestWritten = false;
-            writeStartedAt = node.clock.now();
+            writeStartedAtMs = node.clock.now();
             if (message instanceof FullHttpRequest) {
                 channel.writeAndFlush(message).addListener(f -> onRequestWritten(next, f.isSuccess()));
             } else {
@@ -522,7 +522,7 @@
             Exchange current = exchange;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
                 if (current instanceof Attempt a) {
-                    a.sentAt = node.clock.now();
+                    a.sentAtMs = node.clock.now();
                 }
                 onRequestWritten(current, f.isSuccess());
             });
@@ -541,14 +541,14 @@
         }
 
         private String traceId() {
-            return exchange instanceof Attempt a ? a.owner.traceId : "none";
+            return exchange instanceof Attempt a ? a.openRequest.traceId : "none";
         }
 
         /** Ends the exchange without a response. The host may have run the request only if its last byte was sent. */
         private void connectionLost() {
             if (exchange != null
                     && idleBeforeRequestMs > MIN_IDLE_LIMIT_MS
-                    && node.clock.now() - writeStartedAt < STALE_CONNECTION_MS) {
+                    && node.clock.now() - writeStartedAtMs < STALE_CONNECTION_MS) {
                 node.tally.note(
                         Tally.Count.CLOSED_EARLY,
                         traceId(),
@@ -738,7 +738,7 @@
                     && !decoder.hasPartialMessage()
                     && !pool.closed
                     && HttpUtil.isKeepAlive(responseHead)) {
-                idleSince = node.clock.now();
+                idleSinceMs = node.clock.now();
                 pool.idle.addLast(this);
             } else {
                 channel.close();
@@ -763,7 +763,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (pool.idle.remove(this)) {
                 // Closed by the host: connections that this side closes leave the pool first.
-                pool.lowerIdleLimit(node.clock.now() - idleSince);
+                pool.lowerIdleLimit(node.clock.now() - idleSinceMs);
             }
             connectionLost();
             takeBufferedBody().release();
@@ -789,16 +789,16 @@
     // ---- quota meter
 
     /** The customer's reported use of its quota in percent, plus one; 0 if the response has no readable value. */
-    int usedPct(HttpResponse response) {
-        int used = 0;
+    int meterReading(HttpResponse response) {
+        int reading = 0;
         for (String value : response.headers().getAll(QUOTA_USED_HEADER)) {
             try {
-                used = Math.max(used, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
+                reading = Math.max(reading, 1 + Math.min(MAX_USED_PCT, Integer.parseInt(value.trim())));
             } catch (NumberFormatException e) {
-                // a malformed line beside a valid one is ignored
+                // a malformed header line is ignored
             }
         }
-        return used;
+        return reading;
     }
 
     // ---- load metrics
--- a/src/main/java/deckfall/net/Node.java
+++ b/src/main/java/deckfall/net/Node.java
@@ -368,8 +368,8 @@
             }
 
             @Override
-            public void onSiblings(SiblingWatch.SiblingCounts seen) {
-                loop.execute(() -> siblingsChanged(seen));
+            public void onSiblings(SiblingWatch.SiblingCounts counts) {
+                loop.execute(() -> siblingsChanged(counts));
             }
 
             @Override
@@ -381,9 +381,9 @@
         return siblingWatch;
     }
 
-    private void siblingsChanged(SiblingWatch.SiblingCounts seen) {
-        siblings = seen;
-        updateProcessCount(1 + seen.serving());
+    private void siblingsChanged(SiblingWatch.SiblingCounts counts) {
+        siblings = counts;
+        updateProcessCount(1 + counts.serving());
     }
 
     private void updateProcessCount(int count) {
@@ -413,9 +413,9 @@
      * An upper bound on the connections of this process and its siblings together. Since this process last published
      * its own number, each sibling may have opened as many more as this process has.
      */
-    int totalAcrossProcesses(int own, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
-        int grown = Math.max(0, own - connections.applyAsInt(lastPublished));
-        return own + connections.applyAsInt(siblings) + grown * siblings.processes();
+    int totalAcrossProcesses(int ownConnections, ToIntFunction<SiblingWatch.SiblingCounts> connections) {
+        int growth = Math.max(0, ownConnections - connections.applyAsInt(lastPublished));
+        return ownConnections + connections.applyAsInt(siblings) + growth * siblings.processes();
     }
 
     /**
@@ -621,7 +621,7 @@
             return;
         }
         attempt.ended = true;
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         if (outcome == Outcome.OK) {
             ClientConnection client = closeRequest(openRequest);
             if (client != null) {
@@ -639,12 +639,12 @@
      */
     private void reportAttempt(Attempt attempt, Outcome outcome, HttpResponse response) {
         tally.addAttempt(outcome);
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         openRequest.attemptsInFlight--;
         boolean closed = openRequest.closed();
-        double latencyMs = clock.now() - attempt.sentAt;
+        double latencyMs = clock.now() - attempt.sentAtMs;
         double[] loadMetrics = response == null ? NO_LOAD_METRICS : hostClient.loadMetrics(response);
-        int usedPct = response == null ? 0 : hostClient.usedPct(response);
+        int meterReading = response == null ? 0 : hostClient.meterReading(response);
         deliver((now, m) -> m.attemptEnded(
                 now,
                 new AttemptResult(
@@ -654,7 +654,7 @@
                         outcome,
                         latencyMs,
                         closed,
-                        usedPct,
+                        meterReading,
                         0,
                         loadMetrics)));
         removeIfDone(openRequest);
@@ -681,7 +681,7 @@
             return null;
         }
         attempt.ended = true;
-        OpenRequest openRequest = attempt.owner;
+        OpenRequest openRequest = attempt.openRequest;
         ClientConnection client = openRequest.close();
         ResponseTransfer transfer =
                 client == null ? null : new ResponseTransfer(this, openRequest.request.requestClass(), client, source);
@@ -723,13 +723,13 @@
         deliver((now, m) -> m.probeEnded(now, host, outcome, latencyMs, loadMetrics));
     }
 
-    void counterCallEnded(String name, Outcome outcome, double total) {
+    void counterCallEnded(String counter, Outcome outcome, double total) {
         tally.addCounterCall(outcome);
-        deliver((now, m) -> m.counterCallEnded(now, name, outcome, total));
+        deliver((now, m) -> m.counterCallEnded(now, counter, outcome, total));
     }
 
-    void peerMessageReceived(int peer, byte[] data) {
-        deliver((now, m) -> m.peerMessageReceived(now, peer, data));
+    void peerMessageReceived(int sender, byte[] data) {
+        deliver((now, m) -> m.peerMessageReceived(now, sender, data));
     }
 
     // ---- actions of the decision module
@@ -756,7 +756,7 @@
     /** Whether an attempt may be sent now. An attempt that may not be sent ends as one that never ran. */
     boolean maySend(Attempt attempt) {
         DispatchRule.Verdict verdict = DispatchRule.check(
-                attempt.owner,
+                attempt.openRequest,
                 attempt.number,
                 clock.now(),
                 config.settings().limits().maxAttempts(),
@@ -766,7 +766,7 @@
         }
         tally.notSent(verdict);
         if (verdict == DispatchRule.Verdict.CLIENT_GONE) {
-            clientDisconnected(attempt.owner); // ends all attempts that have not started
+            clientDisconnected(attempt.openRequest); // ends all attempts that have not started
         }
         if (!attempt.ended) {
             attempt.abandon();
@@ -777,9 +777,9 @@
 
     /** Checks at run time that {@link #maySend} was obeyed: no byte is written for a request that has ended. */
     void checkBeforeWrite(Attempt attempt) {
-        if (attempt.ended || attempt.owner.closed() || drainExpired) {
+        if (attempt.ended || attempt.openRequest.closed() || drainExpired) {
             tally.add(Tally.Count.SENT_AFTER_END);
-            log("defect: request " + attempt.owner.traceId + " sent to " + attempt.host + " after its end");
+            log("defect: request " + attempt.openRequest.traceId + " sent to " + attempt.host + " after its end");
         }
     }
 
@@ -835,8 +835,8 @@
     }
 
     @Override
-    public void addToCounter(String name, double amount, double lifetimeMs) {
-        counterClient.add(name, amount, lifetimeMs);
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
+        counterClient.add(counter, amount, lifetimeMs);
     }
 
     /** Does nothing, as discovery is always watched. */
@@ -849,9 +849,9 @@
         log("ending: no new clients, " + metrics.openRequests() + " requests open");
         loop.execute(this::drain);
         try {
-            boolean all = awaitDrained(SHUTDOWN_TIMEOUT_MS);
+            boolean allAnswered = awaitDrained(SHUTDOWN_TIMEOUT_MS);
             loop.submit(this::logTally).await(FINAL_TALLY_TIMEOUT_MS);
-            log("ended, " + (all ? "all answered" : metrics.openRequests() + " requests still open"));
+            log("ended, " + (allAnswered ? "all answered" : metrics.openRequests() + " requests still open"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -872,9 +872,9 @@
             return;
         }
         drain.begin();
-        double latest = clock.now() + Drain.acceptDeadlineMs(config.settings());
+        double acceptUntilMs = clock.now() + Drain.acceptDeadlineMs(config.settings());
         loop.schedule(
-                () -> stopAccepting(latest),
+                () -> stopAccepting(acceptUntilMs),
                 Drain.MIN_ACCEPT_MS + DRAIN_POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS); // after the drain's first sweep, which is due at the same time
         loop.schedule(this::endOpenRequests, Drain.answerDeadlineMs(config.settings()), TimeUnit.MILLISECONDS);
@@ -912,12 +912,12 @@
      * clients send at once on new connections. Closing it while connections wait in its queue would reset them. If
      * another process serves on the same listener, the queue may be left to that process.
      */
-    private void stopAccepting(double latest) {
+    private void stopAccepting(double acceptUntilMs) {
         boolean servedBySibling = clientServer.sharesListener() && servingProcesses > 1;
         boolean allAccepted = servedBySibling || clientServer.acceptQueued();
         boolean recentlyActive = !servedBySibling && clock.now() - clientServer.lastActivityMs() < Drain.RECONNECT_MS;
-        if ((recentlyActive || !allAccepted) && clock.now() < latest) {
-            loop.schedule(() -> stopAccepting(latest), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        if ((recentlyActive || !allAccepted) && clock.now() < acceptUntilMs) {
+            loop.schedule(() -> stopAccepting(acceptUntilMs), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         clientServer.stopAccepting();
--- a/src/main/java/deckfall/net/SiblingWatch.java
+++ b/src/main/java/deckfall/net/SiblingWatch.java
@@ -36,7 +36,7 @@
         List<CustomerSnapshot> snapshotCustomers() throws InterruptedException, ExecutionException, TimeoutException;
 
         /** Called with the counts of the other processes, on the watch's thread. */
-        void onSiblings(SiblingCounts seen);
+        void onSiblings(SiblingCounts counts);
 
         /**
          * Called with the published counts of this process, which the others can read from now on, on the watch's
@@ -95,7 +95,7 @@
                 (int) siblings.stream().filter(SiblingFiles.Status::serving).count();
         int clients = siblings.stream().mapToInt(SiblingFiles.Status::clients).sum();
         int hosts = siblings.stream().mapToInt(SiblingFiles.Status::hosts).sum();
-        // Before the write, which fails if the disk is full.
+        // Before the write, which fails if the disk is full
         localProcess.onSiblings(new SiblingCounts(siblings.size(), serving, clients, hosts));
         boolean acceptsClients = localProcess.acceptsClients();
         boolean snapshotRequested = acceptsClients && serving < siblings.size(); // by a sibling that is starting
--- a/src/main/java/deckfall/net/WarmUp.java
+++ b/src/main/java/deckfall/net/WarmUp.java
@@ -51,8 +51,8 @@
     /** Runs a warm-up for the build. Returns when it is complete. */
     public static void run() throws IOException {
         Node.configureLogging();
-        InetSocketAddress at = freePort(InetAddress.getLoopbackAddress());
-        String address = at.getAddress().getHostAddress() + ':' + at.getPort();
+        InetSocketAddress socketAddress = freePort(InetAddress.getLoopbackAddress());
+        String address = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
         sendRequests(NodeConfig.of(new ObjectMapper().readTree(CONFIG_TEMPLATE.formatted(address))), MAX_DURATION_MS);
         exchangeSiblingFiles();
     }
@@ -63,11 +63,11 @@
      */
     private static void exchangeSiblingFiles() throws IOException {
         Path folder = Files.createTempDirectory("rehearsal");
-        SiblingFiles one = new SiblingFiles(folder, 1);
+        SiblingFiles firstProcessFiles = new SiblingFiles(folder, 1);
         CustomerSnapshot customer = new CustomerSnapshot(1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-        one.write(new SiblingFiles.Status(1, 0, true, 0, 0, List.of(customer)));
+        firstProcessFiles.write(new SiblingFiles.Status(1, 0, true, 0, 0, List.of(customer)));
         new SiblingFiles(folder, 2).presentSiblings(0);
-        one.remove();
+        firstProcessFiles.remove();
         Files.delete(folder);
     }
 
@@ -77,7 +77,7 @@
      *
      * <p>The warm-up has a port of its own. At the gateway's port a client could connect, whose request would be lost
      * when the warm-up ends, and if the listener is shared, another process may answer. A gateway with clients waiting
-     * skips the warm-up: each second of it costs more requests than the slower code does.
+     * skips the warm-up, as each second of it would cost more requests than slower code does.
      */
     static int warmUp(NodeConfig config, boolean clientsWaiting) {
         return clientsWaiting ? 0 : warmUp(config);
@@ -93,9 +93,9 @@
         }
     }
 
-    private static InetSocketAddress freePort(InetAddress at) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, at)) {
-            return new InetSocketAddress(at, free.getLocalPort());
+    private static InetSocketAddress freePort(InetAddress address) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, address)) {
+            return new InetSocketAddress(address, socket.getLocalPort());
         }
     }
 
@@ -121,20 +121,20 @@
         return answered;
     }
 
-    /** The request number {@code i}: classes and plans take turns, and some customers exceed their quota. */
-    private static String request(Settings settings, int i) {
+    /** Builds a request. The numbers cycle through classes, plans and customers, and some exceed quotas. */
+    private static String request(Settings settings, int number) {
         RequestClass requestClass =
-                settings.classes().get(i % settings.classes().size());
+                settings.classes().get(number % settings.classes().size());
         boolean repeatable = requestClass.effect() == Effect.REPEATABLE;
         String body = repeatable ? "" : BODY;
         return REQUEST_TEMPLATE.formatted(
                 repeatable ? "GET" : "POST",
                 requestClass.name(),
-                i,
-                i,
-                planName(settings, i / 2),
-                i % 64,
-                1 + i % settings.gatewayCount(),
+                number,
+                number,
+                planName(settings, number / 2),
+                number % 64,
+                1 + number % settings.gatewayCount(),
                 body.length(),
                 body);
     }
--- a/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/src/test/java/deckfall/net/DiscoveryTest.java
@@ -40,11 +40,11 @@
         return closeable;
     }
 
-    private static void answerOk(Message m, Socket s) throws IOException {
+    private static void respondOk(Message m, Socket s) throws IOException {
         s.getOutputStream().write(okResponse(m.header("X-Trace-Id")));
     }
 
-    /** Answers each call with the next of {@code responses}; an empty one closes the connection. */
+    /** Responds to each call with the next of {@code responses}; an empty one closes the connection. */
     private Server discovery() throws IOException {
         return closeLater(new Server((m, s) -> {
             String body = responses.take();
@@ -72,14 +72,14 @@
     }
 
     private static String nextRequestLine(Server discovery) throws InterruptedException {
-        return discovery.nextRequest().start();
+        return discovery.nextRequest().startLine();
     }
 
     /** If many gateways started at once with full lists, their calls would queue up and changes would arrive late. */
     @Test
     void startupRequestsChangesSinceTheKnownList() throws Exception {
-        Server old = closeLater(new Server(DiscoveryTest::answerOk));
-        Server fresh = closeLater(new Server(DiscoveryTest::answerOk));
+        Server old = closeLater(new Server(DiscoveryTest::respondOk));
+        Server fresh = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(
                 hostList(9, false, hostEntry("a", old.address(), DRAINING), hostEntry("b", fresh.address(), "ready")));
@@ -102,7 +102,7 @@
     /** As if discovery had lost its state: changes since its own version numbers do not apply to the known list. */
     @Test
     void changesOfAnOlderVersionLeadToAFullList() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(hostList(2, false, hostEntry("a", host.address(), "gone")));
         responses.add(hostList(2, true, hostEntry("a", host.address(), "ready")));
@@ -115,7 +115,7 @@
 
     @Test
     void malformedListIsIgnored() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add("{\"servers\":[" + hostEntry("a", host.address(), DRAINING) + "]}");
         responses.add(
@@ -139,23 +139,23 @@
     /** As from a discovery agent that lags behind: a drain or removal stays in force until the host restarts. */
     @Test
     void olderListDoesNotRevertADrain() throws Exception {
-        Server drains = closeLater(new Server(DiscoveryTest::answerOk));
-        Server gone = closeLater(new Server(DiscoveryTest::answerOk));
-        Server ready = closeLater(new Server(DiscoveryTest::answerOk));
+        Server drainingHost = closeLater(new Server(DiscoveryTest::respondOk));
+        Server goneHost = closeLater(new Server(DiscoveryTest::respondOk));
+        Server readyHost = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         String[] old = {
-            hostEntry("a", drains.address(), "ready"),
-            hostEntry("b", gone.address(), "ready"),
-            hostEntry("c", ready.address(), "ready")
+            hostEntry("a", drainingHost.address(), "ready"),
+            hostEntry("b", goneHost.address(), "ready"),
+            hostEntry("c", readyHost.address(), "ready")
         };
         responses.add(hostList(
                 9,
                 false,
-                hostEntry("a", drains.address(), DRAINING),
-                hostEntry("b", gone.address(), "gone"),
-                hostEntry("d", gone.address(), "ready")));
-        responses.add(hostList(10, true, old[2], hostEntry("a", drains.address(), DRAINING)));
-        responses.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", gone.address(), "ready")));
+                hostEntry("a", drainingHost.address(), DRAINING),
+                hostEntry("b", goneHost.address(), "gone"),
+                hostEntry("d", goneHost.address(), "ready")));
+        responses.add(hostList(10, true, old[2], hostEntry("a", drainingHost.address(), DRAINING)));
+        responses.add(hostList(8, true, old[0], old[1], old[2], hostEntry("d", goneHost.address(), "ready")));
         responses.add(hostList(8, false));
         Node node = node(discovery, hostList(7, true, old));
         for (int i = 0; i < 5; i++) {
@@ -166,12 +166,12 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(200, status(node, "v" + i));
         }
-        assertEquals(0, drains.requests.size() + gone.requests.size());
+        assertEquals(0, drainingHost.requests.size() + goneHost.requests.size());
     }
 
     @Test
     void olderListStillReportsARestartedHost() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         Server discovery = discovery();
         responses.add(hostList(9, true, hostEntry("a", host.address(), DRAINING)));
         responses.add(hostList(
@@ -217,12 +217,12 @@
 
     @Test
     void indentedListReceivedByteByByteIsParsed() throws Exception {
-        Server host = closeLater(new Server(DiscoveryTest::answerOk));
+        Server host = closeLater(new Server(DiscoveryTest::respondOk));
         ObjectMapper json = new ObjectMapper();
         String list = json.readTree(hostList(9, false, hostEntry("a", host.address(), "ready")))
                 .toPrettyString();
         Server discovery = closeLater(new Server((m, s) -> {
-            if (m.start().contains("hold_ms=0")) {
+            if (m.startLine().contains("hold_ms=0")) {
                 s.setTcpNoDelay(true);
                 for (byte b : okResponse(list)) {
                     s.getOutputStream().write(b);
--- a/src/test/java/deckfall/net/NodeTest.java
+++ b/src/test/java/deckfall/net/NodeTest.java
@@ -120,7 +120,7 @@
         s.getOutputStream().write(okResponse("for " + m.header("X-Trace-Id") + " " + m.text()));
     }
 
-    private Node nodeWithHosts(String... entries) throws IOException {
+    private Node nodeWithHostEntries(String... entries) throws IOException {
         discovery = closeLater(new DiscoveryServer(hostList(1, true, entries)));
         Node node = TestEndpoints.node(TestEndpoints.config(discovery.server.address(), "127.0.0.1:0"));
         closeables.push(node::stop);
@@ -152,7 +152,7 @@
      */
     @Test
     void clientReconnectsAfterADrainClosedItsIdleConnection() throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         Client idle = client(node);
         assertEquals(
                 200,
@@ -200,12 +200,12 @@
         assertNotNull(moved.server.nextRequest(), "no call to the address of the replaced configuration");
     }
 
-    private Node nodeWithServers(Server... hosts) throws IOException {
+    private Node nodeWithHosts(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = hostEntry("h" + i, hosts[i].address(), "ready");
         }
-        return nodeWithHosts(entries);
+        return nodeWithHostEntries(entries);
     }
 
     private Client client(Node node) throws IOException {
@@ -222,12 +222,12 @@
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         Message response = c.send(orderRequest("id-1", "two copies")).receive();
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
         Message sent = host.nextRequest();
-        assertEquals("POST /order/x HTTP/1.1", sent.start());
+        assertEquals("POST /order/x HTTP/1.1", sent.startLine());
         assertEquals("id-1", sent.header("X-Trace-Id"));
         assertEquals("key-id-1", sent.header("Idempotency-Key"));
         assertEquals("two copies", sent.text());
@@ -235,14 +235,14 @@
         assertEquals(
                 200,
                 c.send(viewRequest("id-2", TestEndpoints.TIMEOUT_MS)).receive().status());
-        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.nextRequest().start());
+        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.nextRequest().startLine());
     }
 
     @Test
     void hostThatRefusesConnectionsCostsNoRequest() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node =
-                nodeWithHosts(hostEntry("dead", REFUSING_ADDRESS, "ready"), hostEntry("live", host.address(), "ready"));
+        Node node = nodeWithHostEntries(
+                hostEntry("dead", REFUSING_ADDRESS, "ready"), hostEntry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     "for o" + i + " b",
@@ -255,7 +255,7 @@
     @Test
     void keyedRequestFailsIfItsConnectionsBreak() throws Exception {
         Server host = host((m, s) -> s.close());
-        int status = client(nodeWithServers(host))
+        int status = client(nodeWithHosts(host))
                 .send(orderRequest("o", "b"))
                 .receive()
                 .status();
@@ -268,7 +268,7 @@
         Server host = host((m, s) ->
                 s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Message response =
-                client(nodeWithServers(host)).send(orderRequest("o", "b")).receive();
+                client(nodeWithHosts(host)).send(orderRequest("o", "b")).receive();
         assertEquals(429, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
     }
@@ -276,7 +276,7 @@
     @Test
     void requestBeyondQuotaIsRefusedWithRetryAfter() throws Exception {
         Server host = host(NodeTest::echo);
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         String tiny = viewRequest("t", TestEndpoints.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message response = c.send(tiny).receive();
@@ -298,7 +298,7 @@
         });
         assertEquals(
                 "for v ",
-                client(nodeWithServers(host))
+                client(nodeWithHosts(host))
                         .send(viewRequest("v", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .text());
@@ -317,7 +317,7 @@
                                     ? okResponse("for " + m.header("X-Trace-Id"))
                                     : bytes("HTTP/1.1 200 OK\r\n" + line + "\r\nContent-Length: 4\r\n\r\nfake"));
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         assertEquals(502, c.send(orderRequest("o", "b")).receive().status()); // each of its three attempts may have run
         assertEquals(
                 "for v",
@@ -344,7 +344,7 @@
             }
             s.getOutputStream().write(all.toByteArray());
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(client(node).send(orderRequest("o" + i, "b")));
@@ -362,19 +362,19 @@
     @Test
     void connectionIdleAsLongAsAResetOneIsNotReused() throws Exception {
         List<Long> idleNanos = new CopyOnWriteArrayList<>(); // idle time before each request that was reset
-        Map<java.net.Socket, Long> answeredAt = new ConcurrentHashMap<>();
+        Map<java.net.Socket, Long> respondedAtNanos = new ConcurrentHashMap<>();
         Server host = host((m, s) -> {
-            long idle = System.nanoTime() - answeredAt.getOrDefault(s, System.nanoTime());
+            long idle = System.nanoTime() - respondedAtNanos.getOrDefault(s, System.nanoTime());
             if (idle > TimeUnit.MILLISECONDS.toNanos(200)) {
                 idleNanos.add(idle);
                 s.setSoLinger(true, 0);
                 s.close();
                 return;
             }
-            answeredAt.put(s, System.nanoTime());
+            respondedAtNanos.put(s, System.nanoTime());
             echo(m, s);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
@@ -392,7 +392,7 @@
     @Test
     void attemptIsCancelledWhenItsClientLeaves() throws Exception {
         Server host = host((m, s) -> {});
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         assertNotNull(host.nextRequest());
         c.close();
@@ -402,16 +402,16 @@
     /** A response after the deadline must reach neither that client nor the next request. */
     @Test
     void lateResponseReachesNoOtherRequest() throws Exception {
-        CountDownLatch timeIsUp = new CountDownLatch(1);
+        CountDownLatch deadlinePassed = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
-                timeIsUp.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                deadlinePassed.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        Client c = client(nodeWithServers(host));
+        Client c = client(nodeWithHosts(host));
         assertNotEquals(200, c.send(viewRequest("slow", 300)).receive().status());
-        timeIsUp.countDown();
+        deadlinePassed.countDown();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "for v" + i + " ",
@@ -424,7 +424,7 @@
     @Test
     void badRequestsAreRejectedAndReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String good = viewRequest("v", 1000);
         for (String bad : List.of(
                 good.replace("X-Plan: free\r\n", ""),
@@ -464,7 +464,7 @@
     @Test
     void requestsOfAmbiguousLengthReachNoHost() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String headStart = orderRequest("o", "b").replace("Content-Length: 1\r\n\r\nb", "");
         for (String length : List.of(
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
@@ -482,7 +482,7 @@
     @Test
     void allRequestFormsAreForwarded() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         String headStart = orderRequest("o", "").replace("Content-Length: 0\r\n\r\n", "");
         Client c = client(node);
         String chunks = headStart
@@ -502,7 +502,7 @@
                 c.send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("/view", "http://h:1/view"))
                         .receive()
                         .text());
-        assertEquals("GET /view/v?z=3 HTTP/1.1", host.requests.get(2).start());
+        assertEquals("GET /view/v?z=3 HTTP/1.1", host.requests.get(2).startLine());
         Client old = client(node);
         old.send(viewRequest("w", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive"));
         assertEquals("keep-alive", old.receive().header("Connection"));
@@ -533,18 +533,20 @@
             firstRead.await();
             s.getOutputStream().write(body, first, body.length - first);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client c = client(node).send(viewRequest("v", 5000));
         java.io.InputStream in = c.socket.getInputStream();
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
-        while (got.size() < first) {
-            got.write(in.read());
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        while (received.size() < first) {
+            received.write(in.read());
         }
         assertEquals(1, metric(node, "concurrent"));
         firstRead.countDown();
-        String head = got.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
-        got.write(in.readNBytes(body.length - (got.size() - head.length() - 4)));
-        assertArrayEquals(body, java.util.Arrays.copyOfRange(got.toByteArray(), head.length() + 4, got.size()));
+        String head =
+                received.toString(java.nio.charset.StandardCharsets.ISO_8859_1).split("\r\n\r\n")[0];
+        received.write(in.readNBytes(body.length - (received.size() - head.length() - 4)));
+        assertArrayEquals(
+                body, java.util.Arrays.copyOfRange(received.toByteArray(), head.length() + 4, received.size()));
         assertEquals(200, c.send(HEALTH_REQUEST).receive().status()); // the connection stays open
         assertEquals(1, metric(node, "success_total{type=\"view\"}"));
         assertEquals(0, metric(node, "concurrent"));
@@ -564,11 +566,13 @@
                 s.setSoLinger(requestIndex == 1, 0);
                 s.close();
             });
-            Client c = client(nodeWithServers(host))
+            Client c = client(nodeWithHosts(host))
                     .send(viewRequest("v", TestEndpoints.TIMEOUT_MS).replace("HTTP/1.1", "HTTP/1.0"));
-            String got =
+            String received =
                     new String(c.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
-            assertTrue(got.startsWith("HTTP/1.1 200") && got.endsWith("\r\n\r\n" + body), got.split("\r\n\r\n")[0]);
+            assertTrue(
+                    received.startsWith("HTTP/1.1 200") && received.endsWith("\r\n\r\n" + body),
+                    received.split("\r\n\r\n")[0]);
             assertEquals(3, requestCount.get());
         }
     }
@@ -584,7 +588,7 @@
                 s.getOutputStream().write(pattern(0x20000));
                 s.close();
             });
-            Node node = nodeWithServers(host);
+            Node node = nodeWithHosts(host);
             Client c = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
             assertThrows(IOException.class, () -> c.socket.getInputStream().readAllBytes(), length); // a reset
             assertEquals(1, host.requests.size());
@@ -617,7 +621,7 @@
         });
         raw.setDaemon(true);
         raw.start();
-        Node node = nodeWithHosts(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
+        Node node = nodeWithHostEntries(hostEntry("h0", "127.0.0.1:" + listener.getLocalPort(), "ready"));
         String head = orderRequest("o", "").replace("Length: 0", "Length: " + body.length);
         Client c = client(node).send(head);
         c.socket.getOutputStream().write(body, 0, 1_000_000);
@@ -634,7 +638,7 @@
      */
     @Test
     void clientWithoutACompleteRequestTimesOut() throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         Client servedClient = client(node);
         assertEquals(
                 200,
@@ -703,7 +707,7 @@
      */
     @Test
     void newConnectionIsServedWhileASiblingHoldsTheClientShare(@TempDir Path folder) throws Exception {
-        Node node = nodeWithServers(host(NodeTest::echo));
+        Node node = nodeWithHosts(host(NodeTest::echo));
         int share = ConnectionLimits.maxKeepAlive(1024);
         SiblingFiles.Status siblingStatus =
                 new SiblingFiles.Status(1, SiblingWatch.monotonicMs(), true, share, 0, List.of());
@@ -721,7 +725,7 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        Client c = client(nodeWithServers(host(NodeTest::echo)));
+        Client c = client(nodeWithHosts(host(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(viewRequest("p" + i, TestEndpoints.TIMEOUT_MS));
@@ -741,7 +745,7 @@
             both.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client a = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         Client b = client(node).send(viewRequest("same", TestEndpoints.TIMEOUT_MS));
         assertEquals("for same ", a.receive().text());
@@ -752,7 +756,7 @@
     void drainingHostGetsNoNewRequestsAndAMovedHostIsFollowed() throws Exception {
         Server old = host(NodeTest::echo);
         Server movedTo = host(NodeTest::echo);
-        Node node = nodeWithServers(old);
+        Node node = nodeWithHosts(old);
         Client c = client(node);
         assertEquals(
                 200,
@@ -777,7 +781,7 @@
     void fullListRemovesTheHostsThatItDoesNotName() throws Exception {
         Server old = host(NodeTest::echo);
         Server fresh = host(NodeTest::echo);
-        Node node = nodeWithServers(old);
+        Node node = nodeWithHosts(old);
         awaitDiscoveryWatches(1);
         discovery.updates.add(hostList(9, true, hostEntry("h1", fresh.address(), "ready")));
         awaitDiscoveryWatches(2);
@@ -797,7 +801,7 @@
     void brokenWatchResumesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Server broken = closeLater(new Server((m, s) -> {
-            if (!m.start().contains("from=")) {
+            if (!m.startLine().contains("from=")) {
                 s.getOutputStream().write(okResponse(hostList(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
@@ -805,7 +809,7 @@
         }));
         closeables.push(TestEndpoints.node(TestEndpoints.config(broken.address(), "127.0.0.1:0"))::stop);
         for (int i = 0; i < 5; i++) {
-            String call = broken.nextRequest().start();
+            String call = broken.nextRequest().startLine();
             assertEquals(i > 0, call.contains("from=7&"), call);
         }
     }
@@ -813,7 +817,7 @@
     private void awaitDiscoveryWatches(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TestEndpoints.TIMEOUT_MS);
         while (discovery.server.requests.stream()
-                        .filter(m -> m.start().contains("from="))
+                        .filter(m -> m.startLine().contains("from="))
                         .count()
                 < count) {
             assertTrue(System.nanoTime() < end, "no watch call arrived");
@@ -838,10 +842,10 @@
             Node node = TestEndpoints.node(TestEndpoints.config(
                     discovery.server.address(), nodeAddress, nodeAddress, "127.0.0.1:" + peer.getLocalPort()));
             closeables.push(node::stop);
-            InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            for (DatagramSocket from : List.of(unknownSender, peer)) {
+            InetSocketAddress recipient = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            for (DatagramSocket sender : List.of(unknownSender, peer)) {
                 for (int size : new int[] {0, 1, 40, 256, 257, 4000}) {
-                    from.send(new DatagramPacket(new byte[size], size, to));
+                    sender.send(new DatagramPacket(new byte[size], size, recipient));
                 }
             }
             // Several customers, as the node itself is the owner of some of them.
@@ -865,7 +869,7 @@
             draining.await(TestEndpoints.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client busy = client(node).send(viewRequest("v", TestEndpoints.TIMEOUT_MS));
         Client idle = client(node);
         assertNotNull(host.nextRequest());
@@ -886,18 +890,18 @@
     @Test
     void quiesceDrainsAndResumeRevertsItAtAnyTime() throws Exception {
         Server host = host(NodeTest::echo);
-        Node node = nodeWithServers(host);
-        OperatorServer.Commands operations = node.operatorCommands();
-        assertNull(operations.notReadyReason());
+        Node node = nodeWithHosts(host);
+        OperatorServer.Commands commands = node.operatorCommands();
+        assertNull(commands.notReadyReason());
         Client kept = client(node);
         assertEquals(
                 200,
                 kept.send(viewRequest("k", TestEndpoints.TIMEOUT_MS)).receive().status());
         Client idle = client(node);
         assertEquals(200, idle.send(HEALTH_REQUEST).receive().status());
-        operations.quiesce();
-        operations.quiesce(); // a second call changes nothing
-        assertEquals("draining", operations.notReadyReason());
+        commands.quiesce();
+        commands.quiesce(); // a second call changes nothing
+        assertEquals("draining", commands.notReadyReason());
         assertEquals(503, client(node).send(HEALTH_REQUEST).receive().status());
         Message late = kept.send(viewRequest("l", TestEndpoints.TIMEOUT_MS)).receive();
         assertEquals(200, late.status());
@@ -910,28 +914,28 @@
                         .send(viewRequest("m", TestEndpoints.TIMEOUT_MS))
                         .receive()
                         .status()); // requests are served throughout the drain
-        operations.resume();
-        operations.resume();
+        commands.resume();
+        commands.resume();
         Client resumed = client(node);
         assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
         assertNull(resumed.send(HEALTH_REQUEST).receive().header("Connection"));
-        operations.quiesce();
-        operations.resume(); // before the first sweep
-        assertNull(operations.notReadyReason());
+        commands.quiesce();
+        commands.resume(); // before the first sweep
+        assertNull(commands.notReadyReason());
         assertEquals(200, resumed.send(HEALTH_REQUEST).receive().status());
     }
 
     @Test
     void metricsCountResultsByClassFromZero() throws Exception {
         Server host = host((m, s) -> {
-            if (m.start().contains("broken")) {
+            if (m.startLine().contains("broken")) {
                 s.close();
             } else {
                 echo(m, s);
             }
         });
-        Node node =
-                nodeWithHosts(hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
+        Node node = nodeWithHostEntries(
+                hostEntry("h0", host.address(), "ready"), hostEntry("h1", host.address(), "draining"));
         assertEquals(0, metric(node, "success_total{type=\"order\"}"));
         Client c = client(node);
         assertEquals(
@@ -974,7 +978,7 @@
     @Test
     void drainEndsRequestsThatAHostNeverAnswers() throws Exception {
         Server host = host((m, s) -> {});
-        Node node = nodeWithServers(host);
+        Node node = nodeWithHosts(host);
         Client c = client(node).send(orderRequest("o", "b"));
         assertNotNull(host.nextRequest());
         node.loop.submit(node::drain).sync();
@@ -1021,7 +1025,7 @@
     }
 
     /** The result of a counter call, as the module receives it. */
-    private record CounterResult(String name, Outcome outcome, double total) {}
+    private record CounterResult(String counter, Outcome outcome, double total) {}
 
     /**
      * Replies arrive in the order of the calls. A reply without a number ends the connection, and calls continue on a
@@ -1031,13 +1035,13 @@
     void counterRepliesReachTheModule() throws Exception {
         java.net.ServerSocket counter = closeLater(new java.net.ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
         java.util.concurrent.BlockingQueue<CounterResult> results = new java.util.concurrent.LinkedBlockingQueue<>();
-        Actions[] acts = new Actions[1];
+        Actions[] moduleActions = new Actions[1];
         discovery = closeLater(new DiscoveryServer(hostList(1, true)));
         String config = TestEndpoints.config(discovery.server.address(), "127.0.0.1:0")
                 .replace("\"name\"", "\"counter\": \"127.0.0.1:" + counter.getLocalPort() + "\", \"name\"")
                 .replace("\"max_units\"", "\"counter\": true, \"counter_timeout_ms\": 60000, \"max_units\"");
         Node node = TestEndpoints.node(config, actions -> {
-            acts[0] = actions;
+            moduleActions[0] = actions;
             return new ScriptedModule((now, r) -> {}, end -> {}) {
                 @Override
                 public void counterCallEnded(double now, String name, Outcome outcome, double total) {
@@ -1050,16 +1054,20 @@
             java.net.Socket s = closeLater(counter.accept());
             CounterResult refused;
             do { // until the node is connected, as a call that can't be written fails at once
-                node.loop.submit(() -> acts[0].addToCounter("u1", 2.5, 4000)).sync();
+                node.loop
+                        .submit(() -> moduleActions[0].addToCounter("u1", 2.5, 4000))
+                        .sync();
                 refused = results.poll();
             } while (refused != null);
-            node.loop.submit(() -> acts[0].addToCounter("u2", -1, 4000)).sync();
+            node.loop
+                    .submit(() -> moduleActions[0].addToCounter("u2", -1, 4000))
+                    .sync();
             String call = "*4\r\n$6\r\nADDGET\r\n$2\r\nu1\r\n$3\r\n2.5\r\n$4\r\n4000\r\n";
             assertEquals(
                     call,
                     new String(
                             s.getInputStream().readNBytes(call.length()), java.nio.charset.StandardCharsets.US_ASCII));
-            node.loop.submit(() -> acts[0].addToCounter("u3", 1, 4000)).sync();
+            node.loop.submit(() -> moduleActions[0].addToCounter("u3", 1, 4000)).sync();
             s.getOutputStream().write(bytes("$3\r\n7.5\r\n-BUSY later\r\n$4\r\n" + notANumber + "\r\n"));
             assertEquals(
                     new CounterResult("u1", Outcome.OK, 7.5),
